--- a/goldcrestmoor/adapters/engine.py
+++ b/goldcrestmoor/adapters/engine.py
@@ -6,7 +6,7 @@
 from goldcrestmoor.adapters.leaving import says_leaving
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.piece import Piece
+from goldcrestmoor.request.token_chunk import Piece
 
 JSON_HEADER = (b"Content-Type", b"application/json")
 EVENT_PREFIX = b"data:"
--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from goldcrestmoor.adapters.table import CheckFailed, Committed, Row
-from goldcrestmoor.connection.patience import Patience
+from goldcrestmoor.connection.adaptive_timeout import Patience
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.util import Backoff, TaskGroup
 
--- a/goldcrestmoor/job/desk.py
+++ b/goldcrestmoor/job/job_api.py
@@ -23,7 +23,7 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
-    :param board: the :class:`~goldcrestmoor.job.board.Board`.
+    :param board: the :class:`~goldcrestmoor.job.job_supervisor.Board`.
     :param zone: this host's availability zone.
     :param is_current: tells whether the board has heard from the store lately.
     """
--- a/goldcrestmoor/language/explain.py
+++ b/goldcrestmoor/language/explain.py
@@ -4,7 +4,7 @@
 
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.decisions import Decision
+from goldcrestmoor.process.decision_log import Decision
 from goldcrestmoor.wire import Message
 
 log = logging.getLogger("goldcrestmoor.language")
--- a/goldcrestmoor/load/applications.py
+++ b/goldcrestmoor/load/applications.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from goldcrestmoor.client.transport import checked
-from goldcrestmoor.request.completion_answers import CompletionRequest
+from goldcrestmoor.request.completion_format import CompletionRequest
 
 FETCH_TIMEOUT_MS = 10_000
 ANSWER_MARGIN_MS = 1000
--- a/goldcrestmoor/load/player.py
+++ b/goldcrestmoor/load/player.py
@@ -11,7 +11,7 @@
 from goldcrestmoor.load.applications import complete, fetch
 from goldcrestmoor.load.tally import Tally
 from goldcrestmoor.load.trace import Completion, Fault, Fetch, Note, Publish, Step
-from goldcrestmoor.request.completion_answers import CompletionAnswer
+from goldcrestmoor.request.completion_format import CompletionAnswer
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.steps.step_routes import GroupBody, SubmitBody
 
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -8,7 +8,7 @@
 
 from goldcrestmoor.adapters.group_commit import Applied, GroupCommit, Refused
 from goldcrestmoor.adapters.table import Change, Changes, HistoryLost, Row
-from goldcrestmoor.connection.patience import AnswerTimes
+from goldcrestmoor.connection.adaptive_timeout import AnswerTimes
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 
 log = logging.getLogger("goldcrestmoor.store")
--- a/goldcrestmoor/process/callers.py
+++ b/goldcrestmoor/process/callers.py
@@ -8,16 +8,16 @@
 from goldcrestmoor.request.admission_owner import AdmissionOwner
 from goldcrestmoor.request.apps import Applications
 from goldcrestmoor.request.authentication import Authenticator
-from goldcrestmoor.request.bound_keys import BoundKeys
 from goldcrestmoor.request.claim_sweeper import ClaimSweeper
 from goldcrestmoor.request.claims import Claims
 from goldcrestmoor.request.completions import Completions
-from goldcrestmoor.request.key_memory import KeyMemory
-from goldcrestmoor.request.keys import Keys
-from goldcrestmoor.request.minted_key import KeyMint
+from goldcrestmoor.request.idempotency_keys import Keys
+from goldcrestmoor.request.key_mint import KeyMint
+from goldcrestmoor.request.minted_keys import BoundKeys
+from goldcrestmoor.request.outcome_cache import KeyMemory
 from goldcrestmoor.request.placement import Placement, TwoChoices
 from goldcrestmoor.version.steps import step_routes
-from goldcrestmoor.version.steps.step_front import StepFront
+from goldcrestmoor.version.steps.step_gateway import StepFront
 from goldcrestmoor.version.steps.step_holder import StepHolder
 from goldcrestmoor.version.steps.step_router import StepRouter
 from goldcrestmoor.version.steps.step_store import StepStore
--- a/goldcrestmoor/process/daemon.py
+++ b/goldcrestmoor/process/daemon.py
@@ -15,8 +15,9 @@
 from goldcrestmoor.connection.peers import PeerLinks
 from goldcrestmoor.connection.retry_budget import RetryBudget
 from goldcrestmoor.process import policies
+from goldcrestmoor.process.broadcast import Spread
 from goldcrestmoor.process.callers import Callers
-from goldcrestmoor.process.decisions import Decisions
+from goldcrestmoor.process.decision_log import Decisions
 from goldcrestmoor.process.leases import LeaseClient
 from goldcrestmoor.process.leaving_answers import LeavingAnswers
 from goldcrestmoor.process.membership import Membership
@@ -24,12 +25,11 @@
 from goldcrestmoor.process.operators import Operators
 from goldcrestmoor.process.ownership import Ownership
 from goldcrestmoor.process.shutdown import InFlight, Shutdown
-from goldcrestmoor.process.spread import Spread
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.lease import ConfigurationLease
 from goldcrestmoor.version.weights.engine_versions import EngineVersionTable
-from goldcrestmoor.version.weights.published import WeightVersions
-from goldcrestmoor.version.weights.weight_orders import WeightOrders
+from goldcrestmoor.version.weights.published_versions import WeightVersions
+from goldcrestmoor.version.weights.weight_update_manager import WeightOrders
 
 log = logging.getLogger("goldcrestmoor.daemon")
 
--- a/goldcrestmoor/process/front.py
+++ b/goldcrestmoor/process/front.py
@@ -12,15 +12,15 @@
 from goldcrestmoor.clock import MS_PER_SECOND, Clock, Deadline
 from goldcrestmoor.connection.http_client import HttpClient
 from goldcrestmoor.errors import ServiceError, UserError
-from goldcrestmoor.job.board import Board
-from goldcrestmoor.job.desk import Desk
 from goldcrestmoor.job.engine_pool import EnginePool
 from goldcrestmoor.job.item_run import ItemTries
+from goldcrestmoor.job.job_api import Desk
 from goldcrestmoor.job.job_store import STATE_TABLE, JobStore
+from goldcrestmoor.job.job_supervisor import Board
 from goldcrestmoor.job.scheduler import Scheduler
 from goldcrestmoor.platform import callers as caller_dialect, records, servers
 from goldcrestmoor.platform.store import StoreClient
-from goldcrestmoor.process import lease_rows, store_reach
+from goldcrestmoor.process import lease_rows, store_connectivity
 from goldcrestmoor.process.directory import Directory
 from goldcrestmoor.process.duties import Duties
 from goldcrestmoor.process.follower import TableFollower
@@ -30,14 +30,14 @@
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.process.routing import Routing
 from goldcrestmoor.process.shutdown import InFlight
-from goldcrestmoor.process.store_reach import HostRow, StoreReach
+from goldcrestmoor.process.store_connectivity import HostRow, StoreReach
 from goldcrestmoor.request.forwarding import Forwarder
 from goldcrestmoor.request.streaming import StreamForwarder
 from goldcrestmoor.request.upstream_loads import UpstreamLoads
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.load_orders import LoadOrders
-from goldcrestmoor.version.weights.named_versions import NamedVersions
 from goldcrestmoor.version.weights.order_log import OrderLog
+from goldcrestmoor.version.weights.target_versions import NamedVersions
 
 log = logging.getLogger("goldcrestmoor.front")
 
@@ -254,8 +254,8 @@
             row=HostRow(host.zone, host.address, host.readiness_port),
             heard_age_ms=self._heard_age_ms,
         )
-        self._followers[store_reach.TABLE] = self._follow(
-            store_reach.TABLE, self._reach.apply
+        self._followers[store_connectivity.TABLE] = self._follow(
+            store_connectivity.TABLE, self._reach.apply
         )
 
     def _heard_age_ms(self):
@@ -316,10 +316,10 @@
 
         for method in STORE_METHODS:
             to_balancer.application.router.add(
-                method, f"{store_reach.CALLS_PREFIX}/*", pass_on
+                method, f"{store_connectivity.CALLS_PREFIX}/*", pass_on
             )
         to_balancer.application.router.add_get(caller_dialect.READY_PATH, ready)
-        to_balancer.application.router.add_get(store_reach.PATH, hears_store)
+        to_balancer.application.router.add_get(store_connectivity.PATH, hears_store)
         to_monitoring = HttpServer(
             clock=self._clock,
             settings=self.settings,
@@ -340,7 +340,7 @@
         target = request.scope["raw_path"] + (b"?" + query if query else b"")
         answer = await self._reach.pass_on(
             request.method,
-            target.decode("latin-1").removeprefix(store_reach.CALLS_PREFIX),
+            target.decode("latin-1").removeprefix(store_connectivity.CALLS_PREFIX),
             [pair for pair in request.headers if pair[0].lower() != b"host"],
             await request.read() or b"",
         )
--- a/goldcrestmoor/process/front_callers.py
+++ b/goldcrestmoor/process/front_callers.py
@@ -45,7 +45,7 @@
     :param routing: the :class:`~goldcrestmoor.process.routing.Routing`.
     :param forwarder: the :class:`~goldcrestmoor.request.forwarding.Forwarder`.
     :param streams: the :class:`~goldcrestmoor.request.streaming.StreamForwarder`.
-    :param desk: the :class:`~goldcrestmoor.job.desk.Desk`.
+    :param desk: the :class:`~goldcrestmoor.job.job_api.Desk`.
     :param dialect: how callers speak.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
--- a/goldcrestmoor/process/leaving_answers.py
+++ b/goldcrestmoor/process/leaving_answers.py
@@ -29,7 +29,7 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.spread.Spread`.
+    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
     """
 
     __slots__ = ("_clock", "_spread", "_until_ms_by_name")
--- a/goldcrestmoor/process/membership.py
+++ b/goldcrestmoor/process/membership.py
@@ -5,6 +5,7 @@
 import random
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
+from goldcrestmoor.process.broadcast import Spread
 from goldcrestmoor.process.listed_hosts import MAX_LEAVING_UPSTREAMS, ListedHosts
 from goldcrestmoor.process.member_table import MemberTable
 from goldcrestmoor.process.membership_messages import (
@@ -19,7 +20,6 @@
     SyncRequest,
 )
 from goldcrestmoor.process.probe_ring import ProbeRing
-from goldcrestmoor.process.spread import Spread
 from goldcrestmoor.util import Backoff, TaskGroup, rendezvous_order
 
 log = logging.getLogger("goldcrestmoor.membership")
--- a/goldcrestmoor/process/store_reach.py
+++ b/goldcrestmoor/process/store_connectivity.py
@@ -8,8 +8,8 @@
 
 from goldcrestmoor.adapters.table import Write
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.detour import choose_detour
 from goldcrestmoor.process.readiness import PeerView, Readiness
+from goldcrestmoor.process.relay_choice import choose_detour
 
 log = logging.getLogger("goldcrestmoor.reach")
 
--- a/goldcrestmoor/request/admission.py
+++ b/goldcrestmoor/request/admission.py
@@ -55,7 +55,7 @@
     :param ownership: the ``Ownership``.
     :param membership: the ``Membership``, or None.
     :param owner: this host's :class:`~.admission_owner.AdmissionOwner`.
-    :param decisions: the :class:`~goldcrestmoor.process.decisions.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
     """
 
     __slots__ = (
--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -39,7 +39,7 @@
     :param refuses_early: whether a request that can't be served in time is refused
         when it comes.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decisions.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
     """
 
     __slots__ = (
--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -7,7 +7,7 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.apps import AppRequest, passed_on
 from goldcrestmoor.request.authentication import check_pool, check_served
-from goldcrestmoor.request.body import read_deadline
+from goldcrestmoor.request.request_parsing import read_deadline
 from goldcrestmoor.version.configuration.document import UpstreamKind
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
@@ -39,7 +39,7 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param authenticator: the ``Authenticator``.
     :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
-    :param keys: the :class:`~goldcrestmoor.request.keys.Keys`.
+    :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.Keys`.
     :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.Settings`.
--- a/goldcrestmoor/request/apps.py
+++ b/goldcrestmoor/request/apps.py
@@ -81,7 +81,7 @@
     :param placement: a :class:`~goldcrestmoor.request.placement.Placement`.
     :param budget: the ``RetryBudget``, here by pool.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decisions.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
     :param health: an ``UpstreamHealth``, or None.
     :param head_timeout_ms: how long an upstream may take to begin its answer, in
         milliseconds; only the request's deadline bounds it when left out.
--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -10,12 +10,12 @@
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.key_memory import MAX_KEPT_BODY_BYTES, digest_of
 from goldcrestmoor.request.key_messages import (
     AskOutcome,
     KeyedAnswer,
     time_to_answer_ms,
 )
+from goldcrestmoor.request.outcome_cache import MAX_KEPT_BODY_BYTES, digest_of
 
 log = logging.getLogger("goldcrestmoor.keys")
 
@@ -61,7 +61,7 @@
     :param host_id: this host.
     :param incarnation: this run of it.
     :param table: the ``TableClient``.
-    :param memory: the :class:`~goldcrestmoor.request.key_memory.KeyMemory`.
+    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.KeyMemory`.
     :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
     :param links: the ``PeerLinks``.
     :param settings: the :class:`~goldcrestmoor.settings.IdempotencySettings`.
--- a/goldcrestmoor/request/completion_answers.py
+++ b/goldcrestmoor/request/completion_format.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from goldcrestmoor import errors
-from goldcrestmoor.request.piece import Segment, join
+from goldcrestmoor.request.token_chunk import Segment, join
 
 DONE_EVENT = b"data: [DONE]\n\n"
 
@@ -90,7 +90,7 @@
 
     :param request_id: the request.
     :param model: the pool's name.
-    :param piece: the :class:`~goldcrestmoor.request.piece.Piece`.
+    :param piece: the :class:`~goldcrestmoor.request.token_chunk.Piece`.
     """
     value = CompletionEvent(
         request_id,
--- a/goldcrestmoor/request/completion_routes.py
+++ b/goldcrestmoor/request/completion_routes.py
@@ -8,14 +8,14 @@
 from goldcrestmoor import logs
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.authentication import check_pool
-from goldcrestmoor.request.body import read_deadline, read_json
-from goldcrestmoor.request.completion_answers import (
+from goldcrestmoor.request.completion_format import (
     DONE_EVENT,
     CompletionRequest,
     error_event,
     event,
     whole_answer,
 )
+from goldcrestmoor.request.request_parsing import read_deadline, read_json
 from goldcrestmoor.version.configuration.document import UpstreamKind
 
 log = logging.getLogger("goldcrestmoor.completions")
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -7,7 +7,7 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.authentication import check_served
 from goldcrestmoor.request.failures import most_telling
-from goldcrestmoor.request.piece import Piece
+from goldcrestmoor.request.token_chunk import Piece
 
 log = logging.getLogger("goldcrestmoor.completions")
 
@@ -66,7 +66,7 @@
     :param budget: the ``RetryBudget``, here by pool.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decisions.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
     :param health: an ``UpstreamHealth``, or None.
     :param resumes: whether a failed stream goes on elsewhere from its tokens; else
         it fails.
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -6,9 +6,9 @@
 
 from goldcrestmoor import tracing
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
-from goldcrestmoor.request import send_again
+from goldcrestmoor.request import retry_decision
 from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.send_again import GiveUp, SendAgain
+from goldcrestmoor.request.retry_decision import GiveUp, SendAgain
 from goldcrestmoor.version.configuration.routes import Repeat
 
 log = logging.getLogger("goldcrestmoor.forward")
@@ -89,14 +89,14 @@
         upstream = self._loads.choose(self._service, self._sent_to)
         if upstream is None:
             text = f"No server of {self._service} is there."
-            after_ms = send_again.RETRY_AFTER_NONE_MS
+            after_ms = retry_decision.RETRY_AFTER_NONE_MS
             raise ServiceError(ErrorKind.NO_UPSTREAM, text, after_ms)
         self._sent_to.append(upstream.name)
         return upstream
 
     def bound_ms(self):
         """Return how long the current try may wait, in milliseconds."""
-        return send_again.try_bound_ms(
+        return retry_decision.try_bound_ms(
             self.route.repeat,
             self._runs,
             self.route.attempts,
@@ -114,7 +114,7 @@
         if end.ran is not Ran.NOT_RUN:
             self._ran = Ran.UNKNOWN
             self._runs += 1
-        decision = send_again.after_try(
+        decision = retry_decision.after_try(
             self._ran,
             self.route.repeat,
             self._runs,
--- a/goldcrestmoor/request/keys.py
+++ b/goldcrestmoor/request/idempotency_keys.py
@@ -1,13 +1,13 @@
 """Idempotency keys: a caller's request is sent at most once under one."""
 
-from goldcrestmoor.request.minted_key import is_minted
+from goldcrestmoor.request.key_mint import is_minted
 
 
 class Keys:
     """Send requests under keys of either kind.
 
-    :param mint: the :class:`~goldcrestmoor.request.minted_key.KeyMint`.
-    :param bound: the :class:`~goldcrestmoor.request.bound_keys.BoundKeys`.
+    :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
+    :param bound: the :class:`~goldcrestmoor.request.minted_keys.BoundKeys`.
     :param claims: the :class:`~goldcrestmoor.request.claims.Claims`.
     """
 
--- a/goldcrestmoor/request/bound_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -7,12 +7,12 @@
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 from goldcrestmoor.request.authentication import check_served
-from goldcrestmoor.request.key_memory import digest_of
 from goldcrestmoor.request.key_messages import (
     KeyedAnswer,
     SendWithKey,
     time_to_answer_ms,
 )
+from goldcrestmoor.request.outcome_cache import digest_of
 
 log = logging.getLogger("goldcrestmoor.keys")
 
@@ -25,8 +25,8 @@
     """Send under minted keys, here or through the host that minted them.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param mint: the :class:`~goldcrestmoor.request.minted_key.KeyMint`.
-    :param memory: the :class:`~goldcrestmoor.request.key_memory.KeyMemory`.
+    :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
+    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.KeyMemory`.
     :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``.
--- a/goldcrestmoor/version/steps/kept_pieces.py
+++ b/goldcrestmoor/version/steps/partial_outputs.py
@@ -1,6 +1,6 @@
 """What ended streams of a step made, for the next try of their slots."""
 
-from goldcrestmoor.request.piece import Piece
+from goldcrestmoor.request.token_chunk import Piece
 
 
 class KeptPieces:
--- a/goldcrestmoor/version/steps/step_messages.py
+++ b/goldcrestmoor/version/steps/step_messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from goldcrestmoor import wire
-from goldcrestmoor.request.piece import Segment
+from goldcrestmoor.request.token_chunk import Segment
 from goldcrestmoor.version.steps.steps import Sample, Slot, StepSpec
 
 
--- a/goldcrestmoor/version/steps/step_routes.py
+++ b/goldcrestmoor/version/steps/step_routes.py
@@ -4,7 +4,7 @@
 from blacksheep import Content, Response
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.body import read_json
+from goldcrestmoor.request.request_parsing import read_json
 from goldcrestmoor.version.steps.step_messages import PullSamples
 from goldcrestmoor.version.steps.steps import (
     GroupSpec,
@@ -90,7 +90,7 @@
 
     :param app: the blacksheep application.
     :param authenticator: the ``Authenticator``.
-    :param steps: the :class:`~goldcrestmoor.version.steps.step_front.StepFront`.
+    :param steps: the :class:`~goldcrestmoor.version.steps.step_gateway.StepFront`.
     :param weights: takes new weight versions, by ``publish``.
     """
 
--- a/goldcrestmoor/version/steps/step_run.py
+++ b/goldcrestmoor/version/steps/step_run.py
@@ -9,11 +9,11 @@
 from goldcrestmoor.errors import ServiceError
 from goldcrestmoor.version.configuration.document import StreamRule
 from goldcrestmoor.version.steps import stragglers
-from goldcrestmoor.version.steps.kept_pieces import KeptPieces
+from goldcrestmoor.version.steps.partial_outputs import KeptPieces
 from goldcrestmoor.version.steps.step_messages import Partial
 from goldcrestmoor.version.steps.step_recorder import StepRecorder
 from goldcrestmoor.version.steps.step_stream import Stream
-from goldcrestmoor.version.weights.publishing_pace import PublishingPace
+from goldcrestmoor.version.weights.publish_interval import PublishingPace
 
 log = logging.getLogger("goldcrestmoor.steps")
 
--- a/goldcrestmoor/version/steps/step_store.py
+++ b/goldcrestmoor/version/steps/step_store.py
@@ -9,7 +9,6 @@
 
 from goldcrestmoor import util, wire
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.version.steps.step_kept import KeptSteps
 from goldcrestmoor.version.steps.step_messages import (
     FetchStep,
     ForgetStep,
@@ -20,6 +19,7 @@
     StoreStep,
 )
 from goldcrestmoor.version.steps.step_records import GroupRecord, StepRecords
+from goldcrestmoor.version.steps.step_replicas import KeptSteps
 from goldcrestmoor.version.steps.steps import StepSpec, digest_of
 
 log = logging.getLogger("goldcrestmoor.steps")
--- a/goldcrestmoor/version/steps/step_stream.py
+++ b/goldcrestmoor/version/steps/step_stream.py
@@ -1,7 +1,7 @@
 """One stream that is to fill a slot."""
 
 from goldcrestmoor import util
-from goldcrestmoor.request.piece import join
+from goldcrestmoor.request.token_chunk import join
 from goldcrestmoor.version.steps.steps import make_sample
 from goldcrestmoor.version.steps.stragglers import Progress
 
--- a/goldcrestmoor/version/steps/steps.py
+++ b/goldcrestmoor/version/steps/steps.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.piece import Segment
+from goldcrestmoor.request.token_chunk import Segment
 
 MAX_GROUPS = 4096
 MAX_SLOTS = 16384
--- a/goldcrestmoor/version/weights/engine_versions.py
+++ b/goldcrestmoor/version/weights/engine_versions.py
@@ -11,7 +11,7 @@
     """Keeps what the ordering hosts say about the engines of each model.
 
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.spread.Spread`.
+    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
     :param configuration: gives the
         :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
     """
--- a/goldcrestmoor/version/weights/published.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -47,7 +47,7 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the :class:`~goldcrestmoor.adapters.table.TableClient`.
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.spread.Spread`.
+    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
     :param weight_store: the
         :class:`~goldcrestmoor.adapters.weights.WeightStoreClient`, or None.
     """
--- a/goldcrestmoor/version/weights/weight_orders.py
+++ b/goldcrestmoor/version/weights/weight_update_manager.py
@@ -7,7 +7,7 @@
 from goldcrestmoor.errors import ServiceError
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.rollout_strategies import AllAtOnce
-from goldcrestmoor.version.weights.weight_driver import ORDER_TIMEOUT_MS, WeightDriver
+from goldcrestmoor.version.weights.weight_updater import ORDER_TIMEOUT_MS, WeightDriver
 
 log = logging.getLogger("goldcrestmoor.weights")
 
--- a/test/_request_fakes.py
+++ b/test/_request_fakes.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.connection.http_client import HttpClient
 from goldcrestmoor.connection.retry_budget import MAX_SAVED_RETRIES, RetryBudget
 from goldcrestmoor.errors import ErrorKind, ServiceError, from_body, to_body
-from goldcrestmoor.process.decisions import Decisions
+from goldcrestmoor.process.decision_log import Decisions
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.version.configuration.document import (
     Account,
--- a/test/_step_fakes.py
+++ b/test/_step_fakes.py
@@ -9,11 +9,11 @@
 from goldcrestmoor.adapters.table import CheckFailed, Committed, Row
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.decisions import Decisions
+from goldcrestmoor.process.decision_log import Decisions
 from goldcrestmoor.process.metrics import Metrics
-from goldcrestmoor.request.piece import Piece
+from goldcrestmoor.request.token_chunk import Piece
 from goldcrestmoor.version.configuration import document as config
-from goldcrestmoor.version.steps.step_front import StepFront
+from goldcrestmoor.version.steps.step_gateway import StepFront
 from goldcrestmoor.version.steps.step_holder import StepHolder
 from goldcrestmoor.version.steps.step_messages import PullSamples
 from goldcrestmoor.version.steps.step_router import StepRouter
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -10,7 +10,7 @@
 
 from goldcrestmoor.adapters.hosts import ListedHost
 from goldcrestmoor.clock import Clock, Deadline
-from goldcrestmoor.process.decisions import Decisions
+from goldcrestmoor.process.decision_log import Decisions
 from goldcrestmoor.process.member_table import MemberTable
 from goldcrestmoor.process.membership_messages import HostRecord, HostState
 from goldcrestmoor.process.metrics import Metrics
@@ -18,8 +18,8 @@
 from goldcrestmoor.request.admission_messages import HeldGrant, RenewGrants
 from goldcrestmoor.request.admission_owner import AdmissionOwner
 from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.key_memory import KeyMemory
-from goldcrestmoor.request.piece import Segment
+from goldcrestmoor.request.outcome_cache import KeyMemory
+from goldcrestmoor.request.token_chunk import Segment
 from goldcrestmoor.version.steps.step_messages import StoreSamples
 from goldcrestmoor.version.steps.step_state import StepState
 from goldcrestmoor.version.steps.steps import GroupSpec, Slot, StepSpec, make_sample
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -8,8 +8,8 @@
 from goldcrestmoor.adapters.engine import EngineClient
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.connection.http_client import HttpClient
+from goldcrestmoor.process.broadcast import Spread
 from goldcrestmoor.process.metrics import Metrics
-from goldcrestmoor.process.spread import Spread
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.document import (
     Configuration,
@@ -18,8 +18,8 @@
     UpstreamKind,
 )
 from goldcrestmoor.version.weights.rollout_strategies import AllAtOnce
-from goldcrestmoor.version.weights.weight_driver import WeightDriver
 from goldcrestmoor.version.weights.weight_messages import VersionPublished
+from goldcrestmoor.version.weights.weight_updater import WeightDriver
 from test import _common
 from test.bench.processes import Directory
 from test.bench.table import show
--- a/test/test_patience.py
+++ b/test/test_adaptive_timeout.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from goldcrestmoor.connection.patience import AnswerTimes, Patience
+from goldcrestmoor.connection.adaptive_timeout import AnswerTimes, Patience
 
 
 class PatienceTest(unittest.TestCase):
--- a/test/test_completions.py
+++ b/test/test_completions.py
@@ -10,8 +10,8 @@
 from goldcrestmoor.request.admission import AdmissionClient
 from goldcrestmoor.request.admission_owner import AdmissionOwner
 from goldcrestmoor.request.completions import Completions
-from goldcrestmoor.request.piece import join
 from goldcrestmoor.request.placement import LeastLoaded, Placement
+from goldcrestmoor.request.token_chunk import join
 from test import _request_fakes as fakes
 from test._common import eventually
 from test.standins import engine as standin
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -9,9 +9,9 @@
 from goldcrestmoor.job.job import Item
 from goldcrestmoor.job.runner_choice import claim_delay_ms
 from goldcrestmoor.job.stragglers import Running, moves
-from goldcrestmoor.process.detour import choose_detour
 from goldcrestmoor.process.readiness import PeerView, Readiness
-from goldcrestmoor.request.send_again import (
+from goldcrestmoor.process.relay_choice import choose_detour
+from goldcrestmoor.request.retry_decision import (
     GiveUp,
     SendAgain,
     after_try,
--- a/test/test_http_server.py
+++ b/test/test_http_server.py
@@ -14,8 +14,8 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError, UserError
 from goldcrestmoor.process.http_server import HttpServer
 from goldcrestmoor.process.metrics import Metrics
-from goldcrestmoor.request.body import read_json
-from goldcrestmoor.request.completion_answers import CompletionRequest
+from goldcrestmoor.request.completion_format import CompletionRequest
+from goldcrestmoor.request.request_parsing import read_json
 from test import _common
 from test._common import eventually
 from test._request_fakes import CountingHttp
--- a/test/test_keys.py
+++ b/test/test_idempotency_keys.py
@@ -7,12 +7,12 @@
 from goldcrestmoor.adapters.table import CheckFailed, Committed, Row
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.bound_keys import BoundKeys
 from goldcrestmoor.request.claim_sweeper import RETENTION_MS, ClaimSweeper
 from goldcrestmoor.request.claims import HOLD_MS, Claims
-from goldcrestmoor.request.key_memory import KeyMemory
-from goldcrestmoor.request.keys import Keys
-from goldcrestmoor.request.minted_key import KeyMint
+from goldcrestmoor.request.idempotency_keys import Keys
+from goldcrestmoor.request.key_mint import KeyMint
+from goldcrestmoor.request.minted_keys import BoundKeys
+from goldcrestmoor.request.outcome_cache import KeyMemory
 from test import _common, _request_fakes as fakes
 from test._common import eventually
 from test.standins import app as standin
--- a/test/test_board.py
+++ b/test/test_job_supervisor.py
@@ -5,10 +5,10 @@
 
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.job.board import Board
-from goldcrestmoor.job.desk import Desk
 from goldcrestmoor.job.job import Job, JobState
+from goldcrestmoor.job.job_api import Desk
 from goldcrestmoor.job.job_store import KeptState
+from goldcrestmoor.job.job_supervisor import Board
 from goldcrestmoor.job.runner_choice import FAR_DELAY_MS, NEAR_DELAY_MS
 from goldcrestmoor.request.event_stream import Event
 from test import _common
--- a/test/test_language.py
+++ b/test/test_language.py
@@ -22,7 +22,7 @@
 from goldcrestmoor.language.explain import Explainer
 from goldcrestmoor.language.parser import parse
 from goldcrestmoor.language.routes import register_routes
-from goldcrestmoor.process.decisions import Decisions
+from goldcrestmoor.process.decision_log import Decisions
 from goldcrestmoor.version.configuration.document import Configuration, StreamRule
 from test import _common
 from test._configuration import INITIAL, World
--- a/test/test_key_memory.py
+++ b/test/test_outcome_cache.py
@@ -6,7 +6,7 @@
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.key_memory import KeyMemory
+from goldcrestmoor.request.outcome_cache import KeyMemory
 from test import _common
 
 BUDGET_BYTES = 32_000_000
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.request import app_routes, completion_routes
 from goldcrestmoor.request.authentication import Authenticator
-from goldcrestmoor.request.keys import Keys
+from goldcrestmoor.request.idempotency_keys import Keys
 from test import _common, _request_fakes as fakes
 from test.standins import app as app_standin, engine as engine_standin
 from test.test_apps import AppsTestCase
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.piece import Piece, Segment
+from goldcrestmoor.request.token_chunk import Piece, Segment
 from goldcrestmoor.version.configuration.document import StreamRule
 from goldcrestmoor.version.steps import step_holder, step_records, step_state
 from goldcrestmoor.version.steps.step_rows import make_source
--- a/test/test_store_reach.py
+++ b/test/test_store_connectivity.py
@@ -8,7 +8,7 @@
 
 from goldcrestmoor.adapters.table import Change
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.store_reach import (
+from goldcrestmoor.process.store_connectivity import (
     CHECK_MS,
     MAX_PASSED_ON,
     STRAIGHT_MS,
--- a/test/test_stragglers.py
+++ b/test/test_stragglers.py
@@ -13,7 +13,7 @@
     decide,
     start_order,
 )
-from goldcrestmoor.version.weights.publishing_pace import PublishingPace
+from goldcrestmoor.version.weights.publish_interval import PublishingPace
 
 
 def lengths(**tokens_by_group):
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -5,17 +5,17 @@
 from types import SimpleNamespace
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
+from goldcrestmoor.process.broadcast import FAN_OUT, Spread
 from goldcrestmoor.process.leases import LeaseClient
 from goldcrestmoor.process.metrics import Metrics
-from goldcrestmoor.process.spread import FAN_OUT, Spread
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.document import Configuration, Pool, Upstream
 from goldcrestmoor.version.weights.engine_versions import EngineVersionTable
-from goldcrestmoor.version.weights.published import WeightVersions
+from goldcrestmoor.version.weights.published_versions import WeightVersions
 from goldcrestmoor.version.weights.rollout_strategies import Rolling
-from goldcrestmoor.version.weights.weight_driver import ORDER_TIMEOUT_MS
 from goldcrestmoor.version.weights.weight_messages import VersionPublished
-from goldcrestmoor.version.weights.weight_orders import LEASE_MS, WeightOrders
+from goldcrestmoor.version.weights.weight_update_manager import LEASE_MS, WeightOrders
+from goldcrestmoor.version.weights.weight_updater import ORDER_TIMEOUT_MS
 from test import _table
 from test._fleet import FakeLinks, HostClock, ManualClock, Network
 
