--- a/goldcrestmoor/job/item_run.py
+++ b/goldcrestmoor/job/item_run.py
@@ -181,7 +181,7 @@
         return True
 
 
-class ItemTries:
+class ItemExecutor:
     """Send items to engines and take in what they make.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
--- a/goldcrestmoor/job/job_api.py
+++ b/goldcrestmoor/job/job_api.py
@@ -18,22 +18,29 @@
 MAX_JOBS_CACHED = 2
 
 
-class Desk:
+class JobApi:
     """Accept jobs, list results, return bodies and end jobs.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
-    :param board: the :class:`~goldcrestmoor.job.job_supervisor.Board`.
+    :param supervisor: the :class:`~goldcrestmoor.job.job_supervisor.JobSupervisor`.
     :param zone: this host's availability zone.
     :param is_current: tells whether the board has heard from the store lately.
     """
 
-    __slots__ = ("_clock", "_store", "_board", "_zone", "_is_current", "_job_by_id")
+    __slots__ = (
+        "_clock",
+        "_store",
+        "_supervisor",
+        "_zone",
+        "_is_current",
+        "_job_by_id",
+    )
 
-    def __init__(self, *, clock, store, board, zone, is_current):
+    def __init__(self, *, clock, store, supervisor, zone, is_current):
         self._clock = clock
         self._store = store
-        self._board = board
+        self._supervisor = supervisor
         self._zone = zone
         self._is_current = is_current
         self._job_by_id = collections.OrderedDict()
@@ -45,13 +52,13 @@
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it surely was not
             accepted, ``OUTCOME_UNKNOWN`` when it may have been.
         """
-        if job.id in self._board.kept_by_job:
+        if job.id in self._supervisor.kept_by_job:
             return
         self._check_heard("kept")
         deadline = Deadline.after(self._clock, ACCEPT_TIMEOUT_MS)
-        with self._board.accepting(job):
+        with self._supervisor.accepting(job):
             kept = await self._store.accept(job, self._zone, deadline)
-            self._board.note(job.id, kept)
+            self._supervisor.note(job.id, kept)
         log.info(
             "Job %s is accepted: %d items of %s, step %d, from version %d on.",
             job.id,
@@ -61,11 +68,11 @@
             job.min_version,
         )
 
-    async def results(self, call, most_bytes):
+    async def results(self, call, max_bytes):
         """Return a page of a job's results, waiting for one where that is asked.
 
         :param call: a :class:`~goldcrestmoor.job.calls.ReadResults`.
-        :param most_bytes: how much text to return, but at least one result.
+        :param max_bytes: how much text to return, but at least one result.
         :return: the number of items and a list of
             :class:`~goldcrestmoor.job.job.Result`.
         :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when that
@@ -73,11 +80,11 @@
         """
         kept = await self._kept(call.job_id)
         if kept.state.listed <= call.after and call.wait_ms:
-            await self._board.wait_listed(call.job_id, call.after, call.wait_ms)
+            await self._supervisor.wait_listed(call.job_id, call.after, call.wait_ms)
             kept = await self._kept(call.job_id)
         if kept.state.listed <= call.after:
             return kept.state.total, []
-        results = await self._store.results(call.job_id, call.after, most_bytes)
+        results = await self._store.results(call.job_id, call.after, max_bytes)
         return kept.state.total, results
 
     async def item_body(self, call):
@@ -107,7 +114,7 @@
             kept = await self._store.change(call.job_id, kept, state)
             if kept is None:
                 raise ServiceError(ErrorKind.NOT_FOUND, "There is no such job.")
-            self._board.note(call.job_id, kept)
+            self._supervisor.note(call.job_id, kept)
         log.info("Job %s is ended.", call.job_id)
 
     def _check_heard(self, done):
@@ -118,13 +125,13 @@
             )
 
     async def _kept(self, job_id):
-        kept = self._board.kept_by_job.get(job_id)
+        kept = self._supervisor.kept_by_job.get(job_id)
         if kept is not None and self._is_current():
             return kept
         kept = await self._store.state(job_id)
         if kept is None:
             raise ServiceError(ErrorKind.NOT_FOUND, "There is no such job.")
-        self._board.note(job_id, kept)
+        self._supervisor.note(job_id, kept)
         return kept
 
     async def _job(self, job_id, state):
--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -32,7 +32,7 @@
     :param process_id: this process, by a name that no other has.
     :param listed_ids: the ids of the items that are listed already.
     :param partials: what is kept of the others' texts, by position.
-    :param terms: the ``JobTerms`` of its route.
+    :param policy: the ``JobPolicy`` of its route.
     :param priority: its route's priority.
     :param clock: the clock.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
@@ -41,7 +41,7 @@
 
     __slots__ = (
         "job",
-        "terms",
+        "policy",
         "priority",
         "due_ms",
         "waiting",
@@ -68,16 +68,16 @@
         process_id,
         listed_ids,
         partials,
-        terms,
+        policy,
         priority,
         clock,
         store,
         on_state,
     ):
         self.job = job
-        self.terms = terms
+        self.policy = policy
         self.priority = priority
-        self.due_ms = kept.state.submitted_ms + terms.due_ms
+        self.due_ms = kept.state.submitted_ms + policy.due_after_ms
         self.waiting = [
             ItemRun(item, position)
             for position, item in enumerate(job.items)
@@ -236,7 +236,7 @@
         await self._clock.sleep_ms(GATHER_MS)
 
     def _keep_left_ms(self):
-        kept_until_ms = self._kept.state.submitted_ms + self.terms.keep_ms
+        kept_until_ms = self._kept.state.submitted_ms + self.policy.expire_after_ms
         return kept_until_ms - self._store.now_ms()
 
     def _give_up(self):
--- a/goldcrestmoor/job/job_store.py
+++ b/goldcrestmoor/job/job_store.py
@@ -220,12 +220,12 @@
                 await self._clock.sleep_ms(backoff.next_ms())
         return _settled(job_id, state, answer)
 
-    async def results(self, job_id, after, most_bytes):
+    async def results(self, job_id, after, max_bytes):
         """Return the listed results from a position on.
 
         :param job_id: the job.
         :param after: the first position that is wanted.
-        :param most_bytes: how much text to return, but at least one result.
+        :param max_bytes: how much text to return, but at least one result.
         :return: a list of :class:`~goldcrestmoor.job.job.Result`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
@@ -233,12 +233,12 @@
             RESULT_TABLE,
             _prefix(job_id),
             start=_position_key(job_id, after),
-            most_rows=READ_ROWS,
+            max_rows=READ_ROWS,
         )
         results, size = [], 0
         for data in _joined(rows):
             size += len(data)
-            if results and size > most_bytes:
+            if results and size > max_bytes:
                 break
             results.append(_result_decoder.decode(data))
         return results
--- a/goldcrestmoor/job/job_supervisor.py
+++ b/goldcrestmoor/job/job_supervisor.py
@@ -37,7 +37,7 @@
     return f"runner/{model}"
 
 
-class Board:
+class JobSupervisor:
     """Hear of every job, answer for its state, and run those of this host's models.
 
     One host runs all jobs of a model, so that its connections to the engines serve
@@ -366,7 +366,7 @@
             process_id=self._process_id,
             listed_ids=listed_ids,
             partials=partials,
-            terms=route.job,
+            policy=route.job,
             priority=route.priority,
             clock=self._clock,
             store=self._store,
--- a/goldcrestmoor/job/scheduler.py
+++ b/goldcrestmoor/job/scheduler.py
@@ -30,7 +30,7 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param pool: the :class:`~goldcrestmoor.job.engine_pool.EnginePool`.
-    :param tries: the :class:`~goldcrestmoor.job.item_run.ItemTries`.
+    :param executor: the :class:`~goldcrestmoor.job.item_run.ItemExecutor`.
     :param routes: gives the ``RouteTable`` in
         force.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
@@ -39,7 +39,7 @@
     __slots__ = (
         "_clock",
         "_pool",
-        "_tries",
+        "_executor",
         "_routes",
         "_metrics",
         "_runs_by_job",
@@ -48,10 +48,10 @@
         "_tasks",
     )
 
-    def __init__(self, *, clock, pool, tries, routes, metrics):
+    def __init__(self, *, clock, pool, executor, routes, metrics):
         self._clock = clock
         self._pool = pool
-        self._tries = tries
+        self._executor = executor
         self._routes = routes
         self._metrics = metrics
         self._runs_by_job = {}
@@ -193,7 +193,7 @@
                 self._pool.note_taken(engine)
             heard_ms = now_ms
 
-        return await self._tries.attempt(run, engine, terms, on_events)
+        return await self._executor.attempt(run, engine, terms, on_events)
 
     def _ended(self, job_run, run, engine, route, task):
         """Settle a try, however it ended."""
--- a/goldcrestmoor/language/executor.py
+++ b/goldcrestmoor/language/executor.py
@@ -142,7 +142,7 @@
         except ServiceError:
             platform_version = "unknown"
         lease = self._lease
-        lapsed = lease.view().lapsed
+        lapsed = lease.view().lease_expired
         row = (platform_version, lease.version, lapsed, lease.lease_age_ms())
         return VERSION_COLUMNS, [row]
 
@@ -165,9 +165,9 @@
 
 def _outcome(answer):
     match answer:
-        case Accepted(version=version, in_force_ms=in_force_ms):
+        case Accepted(version=version, elapsed_ms=elapsed_ms):
             message = f"Version {version} is in force everywhere."
-            message += f" It took {in_force_ms} ms."
+            message += f" It took {elapsed_ms} ms."
             return Outcome("accepted", version, message)
         case Refused(reason=reason, version=version, kind=kind):
             return Outcome("refused", version, reason, kind)
--- a/goldcrestmoor/platform/records.py
+++ b/goldcrestmoor/platform/records.py
@@ -5,14 +5,14 @@
 from goldcrestmoor.process.directory import ListedUpstream
 from goldcrestmoor.version.configuration.routes import (
     CallerLimits,
-    JobTerms,
-    Repeat,
+    JobPolicy,
+    RetryPolicy,
     Route,
     RouteKind,
     RouteTable,
     Service,
     ServiceShare,
-    by_host,
+    group_by_host,
 )
 
 OPERATOR_TABLE = "op"
@@ -116,7 +116,7 @@
     limits = document.limits
     return RouteTable(
         document.version,
-        by_host(_decode_route(route) for route in document.routes),
+        group_by_host(_decode_route(route) for route in document.routes),
         {service.name: _decode_service(service) for service in document.services},
         CallerLimits(
             limits.max_header_bytes,
@@ -155,7 +155,7 @@
     )
 
 
-def decode_named_version(value):
+def decode_target_version(value):
     """Return the model and the weight version that its trainer names.
 
     :param value: the row's bytes.
@@ -170,7 +170,7 @@
     backends = route.backends or [_Backend(route.service or "")]
     job = None
     if kind is RouteKind.JOB:
-        job = JobTerms(
+        job = JobPolicy(
             int(route.run_aim_ms), int(route.keep_s * 1000), route.single_version
         )
     return Route(
@@ -178,7 +178,7 @@
         host=route.hostname.lower(),
         path_prefix=route.path_prefix,
         kind=kind,
-        repeat=_repeat(route),
+        retry_policy=_repeat(route),
         shares=tuple(ServiceShare(b.service, b.weight) for b in backends),
         timeout_ms=int(route.timeout_ms),
         target_ms=int(route.target_latency_ms),
@@ -191,13 +191,13 @@
 def _repeat(route):
     match route.route_type:
         case "safe":
-            return Repeat.FREELY
+            return RetryPolicy.IDEMPOTENT
         case "rollout":
-            return Repeat.RESUMED
+            return RetryPolicy.RESUMABLE
         case "streaming" if route.resumable:
-            return Repeat.RESUMED
+            return RetryPolicy.RESUMABLE
         case _:
-            return Repeat.NEVER
+            return RetryPolicy.NEVER
 
 
 def _decode_service(service):
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -186,16 +186,16 @@
                 return _row(row)
         return None
 
-    async def scan(self, table, prefix="", start=None, most_rows=None):
+    async def scan(self, table, prefix="", start=None, max_rows=None):
         """Return the rows whose keys have a prefix, in the keys' order.
 
         :param table: the table's name.
         :param prefix: the keys' prefix.
         :param start: the first key that is wanted; all when left out.
-        :param most_rows: how many rows to return at most; all when left out.
+        :param max_rows: how many rows to return at most; all when left out.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
-        rows, _ = await self._scan(table, prefix, start, most_rows)
+        rows, _ = await self._scan(table, prefix, start, max_rows)
         return rows
 
     async def snapshot(self, table):
@@ -303,7 +303,7 @@
         target = "/blob-drop/" + quote(key, safe="")
         await self._write("delete", "DELETE", target, b"", (), (STATUS_NOT_FOUND,))
 
-    async def _scan(self, table, prefix, start, most_rows=None):
+    async def _scan(self, table, prefix, start, max_rows=None):
         rows, version, has_more = [], None, True
         first = start or prefix
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1) if prefix else None
@@ -312,7 +312,7 @@
                 table=table,
                 part=PART,
                 to=end,
-                limit=most_rows,
+                limit=max_rows,
                 **{"from": first or None},
             )
             answer = await self._read("scan", f"/rows-get?{query}", _answer_decoder)
@@ -321,7 +321,7 @@
             new = [row for row in answer.rows if row.key != seen]
             rows += [_row(row) for row in new]
             version = answer.ver if version is None else version
-            has_more = answer.hasMore and bool(new) and most_rows is None
+            has_more = answer.hasMore and bool(new) and max_rows is None
             first = rows[-1].key if rows else first
         return rows, version
 
--- a/goldcrestmoor/process/callers.py
+++ b/goldcrestmoor/process/callers.py
@@ -17,7 +17,7 @@
 from goldcrestmoor.request.outcome_cache import KeyMemory
 from goldcrestmoor.request.placement import Placement, TwoChoices
 from goldcrestmoor.version.steps import step_routes
-from goldcrestmoor.version.steps.step_gateway import StepFront
+from goldcrestmoor.version.steps.step_gateway import StepGateway
 from goldcrestmoor.version.steps.step_holder import StepHolder
 from goldcrestmoor.version.steps.step_router import StepRouter
 from goldcrestmoor.version.steps.step_store import StepStore
@@ -194,7 +194,7 @@
             metrics=daemon.metrics,
             settings=daemon.settings,
         )
-        self._steps = StepFront(
+        self._steps = StepGateway(
             clock=daemon.clock,
             router=router,
             holder=self.holder,
--- a/goldcrestmoor/process/daemon.py
+++ b/goldcrestmoor/process/daemon.py
@@ -28,8 +28,8 @@
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.lease import ConfigurationLease
 from goldcrestmoor.version.weights.engine_versions import EngineVersionTable
-from goldcrestmoor.version.weights.published_versions import WeightVersions
-from goldcrestmoor.version.weights.weight_update_manager import WeightOrders
+from goldcrestmoor.version.weights.published_versions import PublishedVersions
+from goldcrestmoor.version.weights.weight_update_manager import WeightUpdateManager
 
 log = logging.getLogger("goldcrestmoor.daemon")
 
@@ -177,7 +177,7 @@
 
     def _make_versions(self):
         platform = self.settings.platform
-        self.versions = WeightVersions(
+        self.versions = PublishedVersions(
             clock=self.clock,
             table=self.table,
             links=self.links,
@@ -192,7 +192,7 @@
         self.engine_versions = EngineVersionTable(
             links=self.links, spread=self.spread, configuration=self.configuration
         )
-        self.orders = WeightOrders(
+        self.orders = WeightUpdateManager(
             clock=self.clock,
             leases=self.leases,
             ownership=self.ownership,
--- a/goldcrestmoor/process/front.py
+++ b/goldcrestmoor/process/front.py
@@ -13,10 +13,10 @@
 from goldcrestmoor.connection.http_client import HttpClient
 from goldcrestmoor.errors import ServiceError, UserError
 from goldcrestmoor.job.engine_pool import EnginePool
-from goldcrestmoor.job.item_run import ItemTries
-from goldcrestmoor.job.job_api import Desk
+from goldcrestmoor.job.item_run import ItemExecutor
+from goldcrestmoor.job.job_api import JobApi
 from goldcrestmoor.job.job_store import STATE_TABLE, JobStore
-from goldcrestmoor.job.job_supervisor import Board
+from goldcrestmoor.job.job_supervisor import JobSupervisor
 from goldcrestmoor.job.scheduler import Scheduler
 from goldcrestmoor.platform import callers as caller_dialect, records, servers
 from goldcrestmoor.platform.store import StoreClient
@@ -37,7 +37,7 @@
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.load_orders import LoadOrders
 from goldcrestmoor.version.weights.order_log import OrderLog
-from goldcrestmoor.version.weights.target_versions import NamedVersions
+from goldcrestmoor.version.weights.target_versions import TargetVersions
 
 log = logging.getLogger("goldcrestmoor.front")
 
@@ -86,8 +86,8 @@
         "_duties",
         "_orders",
         "_scheduler",
-        "_board",
-        "_desk",
+        "_supervisor",
+        "_job_api",
         "_followers",
         "_reach",
         "_in_flight",
@@ -127,8 +127,8 @@
         """Make what follows the store: routes, versions, upstreams and duties."""
         clock, metrics = self._clock, self._metrics
         self._routing = Routing(decode=records.decode_configuration, metrics=metrics)
-        self._versions = NamedVersions(
-            decode=records.decode_named_version,
+        self._versions = TargetVersions(
+            decode=records.decode_target_version,
             metrics=metrics,
             on_change=lambda: self._orders.wake(),
         )
@@ -156,12 +156,12 @@
         self._scheduler = Scheduler(
             clock=clock,
             pool=EnginePool(clock=clock, directory=self._directory),
-            tries=ItemTries(clock=clock, http=self._http, dialect=servers),
+            executor=ItemExecutor(clock=clock, http=self._http, dialect=servers),
             routes=self._routing.current,
             metrics=self._metrics,
         )
         job_store = JobStore(clock=clock, store=self._store)
-        self._board = Board(
+        self._supervisor = JobSupervisor(
             clock=clock,
             store=job_store,
             duties=self._duties,
@@ -191,14 +191,14 @@
             ),
             STATE_TABLE: self._follow(
                 STATE_TABLE,
-                self._board.apply,
+                self._supervisor.apply,
                 pause_ms=JOBS_PAUSE_MS,
             ),
         }
-        self._desk = Desk(
+        self._job_api = JobApi(
             clock=clock,
             store=job_store,
-            board=self._board,
+            supervisor=self._supervisor,
             zone=self.settings.host.zone,
             is_current=self._followers[STATE_TABLE].is_current,
         )
@@ -206,13 +206,13 @@
     def _note_leases_return(self):
         """Have the duties of jobs that are run here taken back at once."""
         self._duties.note_return()
-        self._board.wake()
+        self._supervisor.wake()
 
     def _make_orders(self):
         host = self.settings.host
         self._orders = LoadOrders(
             clock=self._clock,
-            runs_model=self._board.runs_model,
+            runs_model=self._supervisor.runs_model,
             demand=self._scheduler.demand,
             directory=self._directory,
             versions=self._versions,
@@ -294,7 +294,7 @@
             routing=self._routing,
             forwarder=Forwarder(**forwarding),
             streams=StreamForwarder(**forwarding),
-            desk=self._desk,
+            job_api=self._job_api,
             dialect=caller_dialect,
             metrics=self._metrics,
         ).register(to_callers.application)
@@ -373,7 +373,7 @@
         part_by_name = {
             **self._followers,
             "scheduler": self._scheduler,
-            "board": self._board,
+            "board": self._supervisor,
             "orders": self._orders,
             "reach": self._reach,
         }
@@ -415,7 +415,7 @@
         log.info("Told to stop; not ready any more.")
         self._is_leaving = True
         unready = Deadline.after(self._clock, self.settings.shutdown.unready_ms)
-        await self._board.hand_over(HAND_OVER_MS)
+        await self._supervisor.hand_over(HAND_OVER_MS)
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_MS / MS_PER_SECOND):
                 await self._duties.release_all()
@@ -431,7 +431,7 @@
     async def _close(self):
         for server in self._servers:
             await server.stop(CLOSE_TIMEOUT_MS)
-        await self._board.close()
+        await self._supervisor.close()
         await self._scheduler.close()
         await self._orders.close()
         await self._tasks.close()
--- a/goldcrestmoor/process/front_callers.py
+++ b/goldcrestmoor/process/front_callers.py
@@ -45,7 +45,7 @@
     :param routing: the :class:`~goldcrestmoor.process.routing.Routing`.
     :param forwarder: the :class:`~goldcrestmoor.request.forwarding.Forwarder`.
     :param streams: the :class:`~goldcrestmoor.request.streaming.StreamForwarder`.
-    :param desk: the :class:`~goldcrestmoor.job.job_api.Desk`.
+    :param job_api: the :class:`~goldcrestmoor.job.job_api.JobApi`.
     :param dialect: how callers speak.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
@@ -55,17 +55,19 @@
         "_routing",
         "_forwarder",
         "_streams",
-        "_desk",
+        "_job_api",
         "_dialect",
         "_metrics",
     )
 
-    def __init__(self, *, clock, routing, forwarder, streams, desk, dialect, metrics):
+    def __init__(
+        self, *, clock, routing, forwarder, streams, job_api, dialect, metrics
+    ):
         self._clock = clock
         self._routing = routing
         self._forwarder = forwarder
         self._streams = streams
-        self._desk = desk
+        self._job_api = job_api
         self._dialect = dialect
         self._metrics = metrics
 
@@ -108,7 +110,7 @@
         host = _host(request)
         path = _path(request)
         headers = [(name.lower(), value) for name, value in request.headers]
-        if table.has_jobs(host):
+        if table.has_job_route(host):
             query = request.scope.get("query_string", b"").decode("latin-1")
             call = self._dialect.job_call(request.method, path, query, headers)
             if call is not None:
@@ -152,21 +154,21 @@
             case SubmitJob():
                 job_id = logs.request_id.get()
                 job = self._dialect.decode_job(job_id, host, path, body)
-                await self._desk.submit(job)
+                await self._job_api.submit(job)
                 return Response(202)
 
     async def _answer_job_call(self, call):
         match call:
             case ReadResults():
-                most_bytes = self._dialect.MAX_PAGE_BYTES
-                total, results = await self._desk.results(call, most_bytes)
+                max_bytes = self._dialect.MAX_PAGE_BYTES
+                total, results = await self._job_api.results(call, max_bytes)
                 body = self._dialect.encode_page(total, call.after, results)
                 return Response(200, None, Content(JSON, body))
             case ReadItem():
-                body = await self._desk.item_body(call)
+                body = await self._job_api.item_body(call)
                 return Response(200, None, Content(BYTES, body))
             case EndJob():
-                await self._desk.end(call)
+                await self._job_api.end(call)
                 return Response(200)
 
 
--- a/goldcrestmoor/process/policies.py
+++ b/goldcrestmoor/process/policies.py
@@ -2,7 +2,7 @@
 
 from goldcrestmoor.request.fair_queue import FirstComeFirstServed, WeightedFair
 from goldcrestmoor.request.placement import LeastLoaded, PrefixAffinity, RoundRobin
-from goldcrestmoor.version.steps.stragglers import AsNumbered, LongestFirst
+from goldcrestmoor.version.steps.stragglers import IndexOrder, LongestFirst
 from goldcrestmoor.version.weights.rollout_strategies import AllAtOnce, Rolling
 
 PERCENT = 100
@@ -35,7 +35,7 @@
 
     :param policy: the :class:`~goldcrestmoor.settings.PolicySettings`.
     """
-    return AsNumbered() if policy.start_order == "as_numbered" else LongestFirst()
+    return IndexOrder() if policy.start_order == "as_numbered" else LongestFirst()
 
 
 def rollout(policy):
--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -30,7 +30,8 @@
     for: hosts that disagree on the owner may over-admit for a moment.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``, or None.
--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -40,7 +40,8 @@
     :param authenticator: the ``Authenticator``.
     :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
     :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.Keys`.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.Settings`.
     """
--- a/goldcrestmoor/request/authentication.py
+++ b/goldcrestmoor/request/authentication.py
@@ -12,7 +12,8 @@
 class Authenticator:
     """Find accounts by the tokens that callers send.
 
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     """
 
     __slots__ = ("_lease",)
@@ -37,7 +38,7 @@
                 found = account
         if found is not None:
             return found
-        if view.lapsed:
+        if view.lease_expired:
             text = "This host is cut off and does not serve this token meanwhile."
             raise ServiceError(ErrorKind.CONFIG_LAPSED, text)
         raise ServiceError(ErrorKind.UNAUTHORIZED, "The token is unknown.")
@@ -68,14 +69,15 @@
     Call it right before an effect: the configuration may have changed while the
     request's body came in, while it was queued or while the process was frozen.
 
-    :param view: the :class:`~goldcrestmoor.version.configuration.document.View` of now.
+    :param view: the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView` of now.
     :param account: the account as it was let in.
     :param pool: the pool's name.
     :raises ServiceError: ``UNAUTHORIZED``, ``CONFIG_LAPSED`` or ``FORBIDDEN``.
     """
     known = view.configuration.accounts_by_name.get(account.name)
     if known is None or known.token_hash != account.token_hash:
-        kind = ErrorKind.CONFIG_LAPSED if view.lapsed else ErrorKind.UNAUTHORIZED
+        kind = ErrorKind.CONFIG_LAPSED if view.lease_expired else ErrorKind.UNAUTHORIZED
         raise ServiceError(kind, "The account is no longer served here.")
     if pool not in known.pools:
         raise ServiceError(ErrorKind.FORBIDDEN, "The account may not use this pool.")
--- a/goldcrestmoor/request/claim_sweeper.py
+++ b/goldcrestmoor/request/claim_sweeper.py
@@ -25,7 +25,8 @@
     :param host_id: this host.
     :param table: the ``TableClient``.
     :param membership: the ``Membership``.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     """
 
     __slots__ = ("_clock", "_host_id", "_table", "_membership", "_lease")
--- a/goldcrestmoor/request/completion_routes.py
+++ b/goldcrestmoor/request/completion_routes.py
@@ -33,7 +33,8 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param authenticator: the ``Authenticator``.
     :param completions: the :class:`~.completions.Completions`.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     """
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -62,7 +62,8 @@
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
     :param admission: the :class:`~goldcrestmoor.request.admission.AdmissionClient`.
     :param placement: the :class:`~goldcrestmoor.request.placement.Placement`.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param budget: the ``RetryBudget``, here by pool.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.request import retry_decision
 from goldcrestmoor.request.apps import AppAnswer
 from goldcrestmoor.request.retry_decision import GiveUp, SendAgain
-from goldcrestmoor.version.configuration.routes import Repeat
+from goldcrestmoor.version.configuration.routes import RetryPolicy
 
 log = logging.getLogger("goldcrestmoor.forward")
 
@@ -97,7 +97,7 @@
     def bound_ms(self):
         """Return how long the current try may wait, in milliseconds."""
         return retry_decision.try_bound_ms(
-            self.route.repeat,
+            self.route.retry_policy,
             self._runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
@@ -116,7 +116,7 @@
             self._runs += 1
         decision = retry_decision.after_try(
             self._ran,
-            self.route.repeat,
+            self.route.retry_policy,
             self._runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
@@ -240,7 +240,7 @@
                     headers,
                     request.body,
                     max(1, tries.bound_ms()),
-                    idempotent=route.repeat is not Repeat.NEVER,
+                    idempotent=route.retry_policy is not RetryPolicy.NEVER,
                     connect_timeout_ms=CONNECT_TIMEOUT_MS,
                     allow_close_delimited=True,
                 )
@@ -257,6 +257,9 @@
             self._loads.note_failure(upstream)
             return TryEnd(Ran.UNKNOWN, "The answer is spoilt or another's")
         self._loads.note_answer(upstream, tries.route.name)
-        if status == SERVER_ERROR and tries.route.repeat is Repeat.FREELY:
+        if (
+            status == SERVER_ERROR
+            and tries.route.retry_policy is RetryPolicy.IDEMPOTENT
+        ):
             return TryEnd(Ran.RAN, "The server failed")
         return AppAnswer(status, tuple(headers), response.body)
--- a/goldcrestmoor/request/minted_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -30,7 +30,8 @@
     :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param settings: the :class:`~goldcrestmoor.settings.IdempotencySettings`.
     """
 
--- a/goldcrestmoor/request/placement.py
+++ b/goldcrestmoor/request/placement.py
@@ -44,7 +44,8 @@
     """Choose upstreams by a policy, from those that may take new work.
 
     :param zone: this host's availability zone.
-    :param lease: gives the :class:`~goldcrestmoor.version.configuration.document.View`.
+    :param lease: gives the
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param policy: one of the policies of this module.
     :param health: an ``UpstreamHealth``, or None.
     :param is_leaving: tells whether the host list names an upstream as leaving.
--- a/goldcrestmoor/request/retry_decision.py
+++ b/goldcrestmoor/request/retry_decision.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from goldcrestmoor.errors import ErrorKind, Ran
-from goldcrestmoor.version.configuration.routes import Repeat
+from goldcrestmoor.version.configuration.routes import RetryPolicy
 
 # A further try must leave the upstream some time to work.
 MIN_TRY_MS = 30
@@ -37,19 +37,19 @@
     retry_after_ms: int
 
 
-def after_try(ran, repeat, tries, attempts, remaining_ms, has_other):
+def after_try(ran, retry_policy, tries, attempts, remaining_ms, has_other):
     """Decide what follows a try that gave no answer to pass on.
 
     :param ran: the :class:`~goldcrestmoor.errors.Ran` of all tries so far: whether
         any of them was, may have been, or surely was not run.
-    :param repeat: the route's ``Repeat``.
+    :param retry_policy: the route's ``RetryPolicy``.
     :param tries: how many tries may have been run, this one included.
     :param attempts: how many upstreams may run the request.
     :param remaining_ms: the time left, in milliseconds.
     :param has_other: whether there is an upstream that it was not sent to.
     :return: :class:`SendAgain` or :class:`GiveUp`.
     """
-    may_repeat = repeat is not Repeat.NEVER or ran is Ran.NOT_RUN
+    may_repeat = retry_policy is not RetryPolicy.NEVER or ran is Ran.NOT_RUN
     if may_repeat and has_other and tries < attempts and remaining_ms > MIN_TRY_MS:
         return SendAgain()
     if ran is Ran.NOT_RUN:
@@ -59,17 +59,21 @@
     return GiveUp(ErrorKind.UPSTREAM_FAILED, 0)
 
 
-def try_bound_ms(repeat, tries, attempts, remaining_ms, target_ms, has_other):
+def try_bound_ms(retry_policy, tries, attempts, remaining_ms, target_ms, has_other):
     """Return how long a try may wait for its answer, in milliseconds.
 
-    :param repeat: the route's ``Repeat``.
+    :param retry_policy: the route's ``RetryPolicy``.
     :param tries: how many tries came before.
     :param attempts: how many upstreams may run the request.
     :param remaining_ms: the time left.
     :param target_ms: the time within which an answer is worth most.
     :param has_other: whether there is another upstream to try after this one.
     """
-    is_last = repeat is not Repeat.FREELY or tries + 1 >= attempts or not has_other
+    is_last = (
+        retry_policy is not RetryPolicy.IDEMPOTENT
+        or tries + 1 >= attempts
+        or not has_other
+    )
     if is_last:
         return remaining_ms
     bound_ms = remaining_ms * FIRST_TRY_SHARE
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -14,7 +14,7 @@
 from goldcrestmoor.request.apps import AppAnswer
 from goldcrestmoor.request.event_stream import EventReader
 from goldcrestmoor.request.forwarding import Sender, TryEnd
-from goldcrestmoor.version.configuration.routes import Repeat
+from goldcrestmoor.version.configuration.routes import RetryPolicy
 
 log = logging.getLogger("goldcrestmoor.streams")
 
@@ -100,7 +100,7 @@
             except ServiceError as e:
                 self._note_error(upstream, tries, e)
                 end = TryEnd(e.answer.ran, e.message)
-            may_resume = last_id and tries.route.repeat is Repeat.RESUMED
+            may_resume = last_id and tries.route.retry_policy is RetryPolicy.RESUMABLE
             if has_events and not may_resume:
                 raise ServiceError(ErrorKind.UPSTREAM_FAILED, end.reason)
             tries.settle(end)
@@ -131,7 +131,7 @@
                 headers,
                 request.body,
                 max(1, tries.deadline.remaining_ms()),
-                idempotent=tries.route.repeat is not Repeat.NEVER,
+                idempotent=tries.route.retry_policy is not RetryPolicy.NEVER,
                 progress_timeout_ms=max(SILENCE_MS, 4 * tries.route.target_ms),
                 allow_close_delimited=True,
             ) as response:
--- a/goldcrestmoor/version/configuration/cut_off.py
+++ b/goldcrestmoor/version/configuration/cut_off.py
@@ -11,7 +11,7 @@
 from goldcrestmoor.version.configuration.document import (
     Account,
     DeliveryRules,
-    StreamRule,
+    VersionChangePolicy,
 )
 
 
@@ -114,7 +114,7 @@
     return CutOffPart(accounts, places)
 
 
-def lapsed_configuration(configuration, proposals=()):
+def expired_lease_configuration(configuration, proposals=()):
     """Return what a host acts on while its lease has lapsed.
 
     :param configuration: the newest configuration that the host has adopted.
@@ -176,5 +176,5 @@
 def _stricter_delivery(one, other):
     rule = one.on_version_change
     if rule != other.on_version_change:
-        rule = StreamRule.CANCEL
+        rule = VersionChangePolicy.CANCEL
     return DeliveryRules(hedge=one.hedge and other.hedge, on_version_change=rule)
--- a/goldcrestmoor/version/configuration/document.py
+++ b/goldcrestmoor/version/configuration/document.py
@@ -16,7 +16,7 @@
     APPLICATION = "application"
 
 
-class StreamRule(enum.StrEnum):
+class VersionChangePolicy(enum.StrEnum):
     """What happens to a stream when its engine changes weights."""
 
     FINISH = "finish"
@@ -45,7 +45,7 @@
     """
 
     hedge: bool = True
-    on_version_change: StreamRule = StreamRule.RESUME
+    on_version_change: VersionChangePolicy = VersionChangePolicy.RESUME
 
 
 class Account(msgspec.Struct, frozen=True):
@@ -134,17 +134,17 @@
         return sorted(members, key=lambda upstream: upstream.name)
 
 
-class View(msgspec.Struct, frozen=True):
+class ConfigurationView(msgspec.Struct, frozen=True):
     """What a host may act on at this moment.
 
     :param configuration: the newest configuration that the host has adopted.
-        When ``lapsed``, accounts that may not be served are left out and the
+        When ``lease_expired``, accounts that may not be served are left out and the
         others carry their cut-off share and staleness bound.
-    :param lapsed: whether the read lease has run out.
+    :param lease_expired: whether the read lease has run out.
     """
 
     configuration: Configuration
-    lapsed: bool
+    lease_expired: bool
 
 
 def encode(configuration):
--- a/goldcrestmoor/version/configuration/driver.py
+++ b/goldcrestmoor/version/configuration/driver.py
@@ -29,11 +29,11 @@
     """A change that is in force everywhere.
 
     :param version: the version that it made.
-    :param in_force_ms: the time from the command to this answer.
+    :param elapsed_ms: the time from the command to this answer.
     """
 
     version: int
-    in_force_ms: int
+    elapsed_ms: int
 
 
 class Refused(msgspec.Struct, frozen=True):
--- a/goldcrestmoor/version/configuration/lease.py
+++ b/goldcrestmoor/version/configuration/lease.py
@@ -9,8 +9,11 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.util import Backoff
 from goldcrestmoor.version.configuration import document as documents
-from goldcrestmoor.version.configuration.cut_off import lapsed_configuration
-from goldcrestmoor.version.configuration.document import Configuration, View
+from goldcrestmoor.version.configuration.cut_off import expired_lease_configuration
+from goldcrestmoor.version.configuration.document import (
+    Configuration,
+    ConfigurationView,
+)
 from goldcrestmoor.version.configuration.messages import (
     ConfigurationOffer,
     CutOffPrepared,
@@ -113,11 +116,12 @@
         The lease is checked at each call, as the process may have been frozen
         since the last one.
 
-        :return: a :class:`~goldcrestmoor.version.configuration.document.View`.
+        :return: a
+            :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
         """
         if self._clock.now_ms() < self._lease_end_ms:
-            return View(self._configuration, lapsed=False)
-        return View(self._lapsed_configuration, lapsed=True)
+            return ConfigurationView(self._configuration, lease_expired=False)
+        return ConfigurationView(self._lapsed_configuration, lease_expired=True)
 
     def lease_age_ms(self):
         """Return the time since the last good read was sent, in milliseconds."""
@@ -280,7 +284,7 @@
         self._update_lapsed()
 
     def _update_lapsed(self):
-        self._lapsed_configuration = lapsed_configuration(
+        self._lapsed_configuration = expired_lease_configuration(
             self._configuration, self._proposals_by_token.values()
         )
 
--- a/goldcrestmoor/version/configuration/routes.py
+++ b/goldcrestmoor/version/configuration/routes.py
@@ -14,13 +14,13 @@
     JOB = "job"
 
 
-class Repeat(enum.StrEnum):
+class RetryPolicy(enum.StrEnum):
     """How a request of a route may be sent to more than one upstream."""
 
     # Any number of runs is harmless.
-    FREELY = "freely"
+    IDEMPOTENT = "freely"
     # A run may go on elsewhere after the events that are there.
-    RESUMED = "resumed"
+    RESUMABLE = "resumed"
     # Only when it surely was not run.
     NEVER = "never"
 
@@ -36,16 +36,16 @@
     weight: int = 1
 
 
-class JobTerms(msgspec.Struct, frozen=True):
+class JobPolicy(msgspec.Struct, frozen=True):
     """What holds for the batch jobs of a route.
 
-    :param due_ms: all results are wanted so long after submission.
-    :param keep_ms: an item may be given up so long after submission.
+    :param due_after_ms: all results are wanted so long after submission.
+    :param expire_after_ms: an item may be given up so long after submission.
     :param single_version: whether a result may come from one weight version only.
     """
 
-    due_ms: int
-    keep_ms: int
+    due_after_ms: int
+    expire_after_ms: int
     single_version: bool = False
 
 
@@ -56,7 +56,7 @@
     :param host: the host that callers name.
     :param path_prefix: begins and ends with a slash.
     :param kind: what its answers are like.
-    :param repeat: whether a request may be sent again.
+    :param retry_policy: whether a request may be sent again.
     :param shares: the services, with their weights.
     :param timeout_ms: the longest that a request may be kept waiting.
     :param target_ms: the time within which an answer is worth most.
@@ -69,13 +69,13 @@
     host: str
     path_prefix: str
     kind: RouteKind
-    repeat: Repeat
+    retry_policy: RetryPolicy
     shares: tuple[ServiceShare, ...]
     timeout_ms: int
     target_ms: int
     priority: int = 0
     attempts: int = 1
-    job: JobTerms | None = None
+    job: JobPolicy | None = None
 
     def service_for(self, request_id):
         """Return the service that a request goes to, by the services' weights.
@@ -149,7 +149,7 @@
                 return route
         return None
 
-    def has_jobs(self, host):
+    def has_job_route(self, host):
         """Tell whether a host has a route for batch jobs.
 
         :param host: the host that the caller names.
@@ -158,7 +158,7 @@
         return any(route.kind is RouteKind.JOB for route in routes)
 
 
-def by_host(routes):
+def group_by_host(routes):
     """Return routes by their host, each host's longest prefix first.
 
     :param routes: an iterable of :class:`Route`.
--- a/goldcrestmoor/version/steps/partial_outputs.py
+++ b/goldcrestmoor/version/steps/partial_outputs.py
@@ -3,7 +3,7 @@
 from goldcrestmoor.request.token_chunk import Piece
 
 
-class KeptPieces:
+class PartialOutputs:
     """Keep the longest of each slot's failed streams.
 
     :param is_on: whether anything is kept at all.
--- a/goldcrestmoor/version/steps/step_gateway.py
+++ b/goldcrestmoor/version/steps/step_gateway.py
@@ -14,14 +14,14 @@
 SUBMIT_TIMEOUT_MS = 5000
 
 
-class StepFront:
+class StepGateway:
     """What trainers' requests come to, on whichever host they reach.
 
     :param clock: the clock.
     :param router: the :class:`~goldcrestmoor.version.steps.step_router.StepRouter`.
     :param holder: this host's
         :class:`~goldcrestmoor.version.steps.step_holder.StepHolder`.
-    :param versions: the ``WeightVersions``.
+    :param versions: the ``PublishedVersions``.
     :param metrics: the ``Metrics``.
     :param settings: the host's settings.
     """
--- a/goldcrestmoor/version/steps/step_holder.py
+++ b/goldcrestmoor/version/steps/step_holder.py
@@ -48,7 +48,7 @@
     :param links: the ``PeerLinks``.
     :param router: the :class:`~goldcrestmoor.version.steps.step_router.StepRouter`.
     :param lease: the ``ConfigurationLease``.
-    :param versions: the ``WeightVersions``.
+    :param versions: the ``PublishedVersions``.
     :param decisions: the ``Decisions``.
     :param metrics: the ``Metrics``.
     :param settings: the host's settings.
--- a/goldcrestmoor/version/steps/step_replicas.py
+++ b/goldcrestmoor/version/steps/step_replicas.py
@@ -32,7 +32,7 @@
         self.deadline = deadline
 
 
-class KeptSteps:
+class StepReplicas:
     """Specifications and samples by step; the first sample of a slot stays.
 
     :param clock: the clock.
--- a/goldcrestmoor/version/steps/step_router.py
+++ b/goldcrestmoor/version/steps/step_router.py
@@ -98,6 +98,8 @@
         view = self._lease.view()
         account = view.configuration.accounts_by_name.get(name)
         if account is None:
-            kind = ErrorKind.CONFIG_LAPSED if view.lapsed else ErrorKind.FORBIDDEN
+            kind = (
+                ErrorKind.CONFIG_LAPSED if view.lease_expired else ErrorKind.FORBIDDEN
+            )
             raise ServiceError(kind, "The account is not served here.")
         return account
--- a/goldcrestmoor/version/steps/step_routes.py
+++ b/goldcrestmoor/version/steps/step_routes.py
@@ -90,7 +90,7 @@
 
     :param app: the blacksheep application.
     :param authenticator: the ``Authenticator``.
-    :param steps: the :class:`~goldcrestmoor.version.steps.step_gateway.StepFront`.
+    :param steps: the :class:`~goldcrestmoor.version.steps.step_gateway.StepGateway`.
     :param weights: takes new weight versions, by ``publish``.
     """
 
--- a/goldcrestmoor/version/steps/step_run.py
+++ b/goldcrestmoor/version/steps/step_run.py
@@ -7,13 +7,13 @@
 from goldcrestmoor import tracing, util
 from goldcrestmoor.clock import MS_PER_SECOND
 from goldcrestmoor.errors import ServiceError
-from goldcrestmoor.version.configuration.document import StreamRule
+from goldcrestmoor.version.configuration.document import VersionChangePolicy
 from goldcrestmoor.version.steps import stragglers
-from goldcrestmoor.version.steps.partial_outputs import KeptPieces
+from goldcrestmoor.version.steps.partial_outputs import PartialOutputs
 from goldcrestmoor.version.steps.step_messages import Partial
 from goldcrestmoor.version.steps.step_recorder import StepRecorder
 from goldcrestmoor.version.steps.step_stream import Stream
-from goldcrestmoor.version.weights.publish_interval import PublishingPace
+from goldcrestmoor.version.weights.publish_interval import PublishIntervalEstimator
 
 log = logging.getLogger("goldcrestmoor.steps")
 
@@ -70,8 +70,8 @@
         self._is_wanted = is_wanted
         self._start_order = start_order
         self._drops_early = drops_early
-        self._pace = PublishingPace(state.trainer_version)
-        self._kept = KeptPieces(resumes, partials)
+        self._pace = PublishIntervalEstimator(state.trainer_version)
+        self._kept = PartialOutputs(resumes, partials)
         self._hedges_left = -(-len(state.slots) * hedge_percent // PERCENT)
         self._lengths = stragglers.Lengths()
         self._streams_by_slot = {}
@@ -114,14 +114,14 @@
             self._count("dropped_stale")
             log.info("Slot %s of step %s went stale.", slot, self._state.spec.step)
         version = self._state.trainer_version
-        self._pace.note(version, self._clock.now_ms())
+        self._pace.record(version, self._clock.now_ms())
         oldest = self._floor(account)
         if version != self._version:
             self._version = version
             match account.delivery.on_version_change:
-                case StreamRule.CANCEL:
+                case VersionChangePolicy.CANCEL:
                     oldest = version
-                case StreamRule.FINISH | StreamRule.RESUME:
+                case VersionChangePolicy.FINISH | VersionChangePolicy.RESUME:
                     # The engine finishes or resumes a stream across its swap; here
                     # only those that cannot come in under the bound are stopped.
                     pass
@@ -141,7 +141,7 @@
         oldest = min(piece.version for piece in stream.pieces)
         if oldest >= self._state.trainer_version:
             return False
-        too_old_ms = self._pace.too_old_from_ms(oldest, bound)
+        too_old_ms = self._pace.expires_at_ms(oldest, bound)
         left_ms = self._lengths.finish_ms(stream.progress(now_ms), stream.group.index)
         if too_old_ms is None or left_ms is None:
             return False
--- a/goldcrestmoor/version/steps/step_store.py
+++ b/goldcrestmoor/version/steps/step_store.py
@@ -19,7 +19,7 @@
     StoreStep,
 )
 from goldcrestmoor.version.steps.step_records import GroupRecord, StepRecords
-from goldcrestmoor.version.steps.step_replicas import KeptSteps
+from goldcrestmoor.version.steps.step_replicas import StepReplicas
 from goldcrestmoor.version.steps.steps import StepSpec, digest_of
 
 log = logging.getLogger("goldcrestmoor.steps")
@@ -75,7 +75,7 @@
         self._links = links
         self._membership = membership
         self._host_id = host_id
-        self._kept = KeptSteps(clock=clock, links=links)
+        self._kept = StepReplicas(clock=clock, links=links)
         self._unwritten_by_key = collections.OrderedDict()
         self._unwritten = asyncio.Event()
         self._silent_until_by_host = {}
--- a/goldcrestmoor/version/steps/stragglers.py
+++ b/goldcrestmoor/version/steps/stragglers.py
@@ -14,7 +14,7 @@
     """Start the slots that are expected to take longest first."""
 
 
-class AsNumbered(msgspec.Struct, frozen=True):
+class IndexOrder(msgspec.Struct, frozen=True):
     """Start the slots in the order of their numbers."""
 
 
@@ -137,9 +137,9 @@
     :param slots: the slots to start.
     :param lengths: the step's :class:`Lengths`.
     :param max_tokens_by_group: the bounds, in tokens.
-    :param order: :class:`LongestFirst` or :class:`AsNumbered`.
+    :param order: :class:`LongestFirst` or :class:`IndexOrder`.
     """
-    if isinstance(order, AsNumbered):
+    if isinstance(order, IndexOrder):
         return sorted(slots)
     expected_by_group = {
         group: lengths.expected(group, max_tokens)
--- a/goldcrestmoor/version/weights/engine_versions.py
+++ b/goldcrestmoor/version/weights/engine_versions.py
@@ -37,7 +37,7 @@
         version = known.exceptions.get(upstream.name, known.version)
         return None if version == UNKNOWN else version
 
-    def publish(self, model, fencing, versions_by_upstream):
+    def broadcast(self, model, fencing, versions_by_upstream):
         """Keep what the engines of a model run, and tell the other hosts.
 
         :param model: the model.
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -34,7 +34,7 @@
     :param demand: gives the ``Demand`` for a
         model.
     :param directory: the :class:`~goldcrestmoor.process.directory.Directory`.
-    :param versions: the ``NamedVersions``.
+    :param versions: the ``TargetVersions``.
     :param routes: gives the ``RouteTable`` in force.
     :param engines: reports and orders, such as the adapter's ``EngineOrders``.
     :param order_log: the :class:`~goldcrestmoor.version.weights.order_log.OrderLog`.
@@ -169,7 +169,7 @@
             if not is_usable or not self._runs_model(load.model):
                 self._retry_after(load, 0)
                 return
-            fencing = await self._log.enter(upstream.name)
+            fencing = await self._log.append(upstream.name)
             if fencing is None:
                 self._retry_after(load, REFUSED_MS)
                 return
--- a/goldcrestmoor/version/weights/order_log.py
+++ b/goldcrestmoor/version/weights/order_log.py
@@ -51,7 +51,7 @@
         self._turn_ms = turn_ms
         self._known_by_engine = {}
 
-    async def enter(self, engine):
+    async def append(self, engine):
         """Write down that an order is about to be given.
 
         :param engine: the engine's name.
--- a/goldcrestmoor/version/weights/publish_interval.py
+++ b/goldcrestmoor/version/weights/publish_interval.py
@@ -6,7 +6,7 @@
 INTERVALS_KEPT = 4
 
 
-class PublishingPace:
+class PublishIntervalEstimator:
     """The times between a trainer's versions, as one step's holder sees them.
 
     :param version: the trainer's version at the start.
@@ -19,7 +19,7 @@
         self._changed_ms = None
         self._intervals_ms = collections.deque(maxlen=INTERVALS_KEPT)
 
-    def note(self, version, now_ms):
+    def record(self, version, now_ms):
         """Take in the trainer's present version.
 
         :param version: the version.
@@ -32,7 +32,7 @@
             self._intervals_ms.append((now_ms - self._changed_ms) / versions)
         self._version, self._changed_ms = version, now_ms
 
-    def too_old_from_ms(self, oldest_version, bound):
+    def expires_at_ms(self, oldest_version, bound):
         """Return when a version is expected to be too old, or None.
 
         :param oldest_version: the version of a stream's oldest tokens.
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -41,7 +41,7 @@
 _decoder = msgspec.json.Decoder(VersionRow)
 
 
-class WeightVersions:
+class PublishedVersions:
     """Publishes weight versions and knows the current one of each model.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -134,7 +134,7 @@
         self._spread.start(VersionPublished(model, version, account))
 
     @contextlib.asynccontextmanager
-    async def followed(self):
+    async def fast_polling(self):
         """Have the versions read often while the context lasts, and at its start.
 
         Only the host that orders engines must learn of each version soon when
--- a/goldcrestmoor/version/weights/target_versions.py
+++ b/goldcrestmoor/version/weights/target_versions.py
@@ -5,7 +5,7 @@
 log = logging.getLogger("goldcrestmoor.versions")
 
 
-class NamedVersions:
+class TargetVersions:
     """The newest named version of each model; it never goes back.
 
     :param decode: makes a model and a version of a row's value; raises
--- a/goldcrestmoor/version/weights/weight_update_manager.py
+++ b/goldcrestmoor/version/weights/weight_update_manager.py
@@ -7,7 +7,7 @@
 from goldcrestmoor.errors import ServiceError
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.rollout_strategies import AllAtOnce
-from goldcrestmoor.version.weights.weight_updater import ORDER_TIMEOUT_MS, WeightDriver
+from goldcrestmoor.version.weights.weight_updater import ORDER_TIMEOUT_MS, WeightUpdater
 
 log = logging.getLogger("goldcrestmoor.weights")
 
@@ -18,7 +18,7 @@
 STOP_POLL_MS = 50
 
 
-class WeightOrders:
+class WeightUpdateManager:
     """Stands for the lease of each model, and drives those that it holds.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -26,7 +26,7 @@
     :param ownership: the :class:`~goldcrestmoor.process.ownership.Ownership`.
     :param configuration: gives the
         :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
-    :param versions: the ``WeightVersions``.
+    :param versions: the ``PublishedVersions``.
     :param engine_versions: the
         :class:`~goldcrestmoor.version.weights.engine_versions.EngineVersionTable`.
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
@@ -134,13 +134,13 @@
             log.warning("The lease on %s was not taken: %s.", model, e)
             return
         if lease is not None:
-            driver = WeightDriver(model=model, lease=lease, **self._driver_parts)
+            driver = WeightUpdater(model=model, lease=lease, **self._driver_parts)
             self._drivers_by_model[model] = driver
             self._tasks.start(self._drive(model, driver), f"drive {model}")
 
     async def _drive(self, model, driver):
         try:
-            async with self._versions.followed():
+            async with self._versions.fast_polling():
                 await driver.run(lambda: self._is_candidate(model))
         finally:
             del self._drivers_by_model[model]
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -50,14 +50,14 @@
         self.orders_from_ms = orders_from_ms
 
 
-class WeightDriver:
+class WeightUpdater:
     """Orders the engines of one model, as the holder of the model's lease.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param model: the model.
     :param lease: the :class:`~goldcrestmoor.process.leases.Lease` on it.
     :param configuration: gives the configuration in force.
-    :param versions: the ``WeightVersions``.
+    :param versions: the ``PublishedVersions``.
     :param engine_versions: where the engines' versions are published.
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
@@ -296,4 +296,4 @@
         is_due = versions != self._published and age_ms >= PUBLISH_MIN_MS
         if is_due or age_ms >= PUBLISH_MAX_MS:
             self._published, self._published_ms = versions, self._clock.now_ms()
-            self._engine_versions.publish(self.model, self.lease.fencing, versions)
+            self._engine_versions.broadcast(self.model, self.lease.fencing, versions)
--- a/test/_request_fakes.py
+++ b/test/_request_fakes.py
@@ -14,10 +14,10 @@
 from goldcrestmoor.version.configuration.document import (
     Account,
     Configuration,
+    ConfigurationView,
     Pool,
     Upstream,
     UpstreamKind,
-    View,
 )
 from test import _common
 
@@ -66,7 +66,7 @@
         self.lapsed = lapsed
 
     def view(self):
-        return View(self.configuration, self.lapsed)
+        return ConfigurationView(self.configuration, self.lapsed)
 
     def replace(self, upstream):
         self.configuration.upstreams_by_name[upstream.name] = upstream
--- a/test/_step_fakes.py
+++ b/test/_step_fakes.py
@@ -13,7 +13,7 @@
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.request.token_chunk import Piece
 from goldcrestmoor.version.configuration import document as config
-from goldcrestmoor.version.steps.step_gateway import StepFront
+from goldcrestmoor.version.steps.step_gateway import StepGateway
 from goldcrestmoor.version.steps.step_holder import StepHolder
 from goldcrestmoor.version.steps.step_messages import PullSamples
 from goldcrestmoor.version.steps.step_router import StepRouter
@@ -167,7 +167,7 @@
             {"lm": config.Pool("lm", config.UpstreamKind.ENGINE, "m")},
             {"engine-1": upstream},
         )
-        return config.View(document, False)
+        return config.ConfigurationView(document, False)
 
     def published_by(self, account, model):
         return self.published
@@ -219,7 +219,7 @@
             decisions=Decisions(fleet.clock),
             **shared,
         )
-        self.front = StepFront(holder=self.holder, **shared)
+        self.front = StepGateway(holder=self.holder, **shared)
         self._writer = asyncio.get_running_loop().create_task(self.store.run())
 
     def holder_of_step(self, account, step):
--- a/test/bench/documents.py
+++ b/test/bench/documents.py
@@ -5,7 +5,7 @@
 
 from goldcrestmoor import util
 from goldcrestmoor.version.configuration import document as documents
-from goldcrestmoor.version.configuration.cut_off import lapsed_configuration
+from goldcrestmoor.version.configuration.cut_off import expired_lease_configuration
 from goldcrestmoor.version.configuration.document import (
     Account,
     Configuration,
@@ -76,7 +76,7 @@
 
     def adopt():
         adopted = documents.decode(data)
-        return adopted, lapsed_configuration(adopted, ())
+        return adopted, expired_lease_configuration(adopted, ())
 
     size = len(data)
     return (
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -19,7 +19,7 @@
 )
 from goldcrestmoor.version.weights.rollout_strategies import AllAtOnce
 from goldcrestmoor.version.weights.weight_messages import VersionPublished
-from goldcrestmoor.version.weights.weight_updater import WeightDriver
+from goldcrestmoor.version.weights.weight_updater import WeightUpdater
 from test import _common
 from test.bench.processes import Directory
 from test.bench.table import show
@@ -48,7 +48,7 @@
     def __init__(self):
         self.versions = {}
 
-    def publish(self, model, fencing, versions):
+    def broadcast(self, model, fencing, versions):
         self.versions = versions
 
 
@@ -69,7 +69,7 @@
     versions, published = _Versions(), _Published()
     lease = SimpleNamespace(fencing=1, handed_over=True, holds=lambda: True)
     configuration = _configuration(places, count)
-    driver = WeightDriver(
+    driver = WeightUpdater(
         clock=clock,
         model=MODEL,
         lease=lease,
--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -53,9 +53,9 @@
         answer = await self.change(SHARE_OF_TISZA % 5)
         self.assertEqual(answer.version, 2)
         self.assertGreaterEqual(
-            answer.in_force_ms, settings.lease_ms + settings.lease_margin_ms
+            answer.elapsed_ms, settings.lease_ms + settings.lease_margin_ms
         )
-        self.assertLessEqual(answer.in_force_ms, 15_000)
+        self.assertLessEqual(answer.elapsed_ms, 15_000)
 
     async def test_of_two_operators_one_is_refused_with_the_current_version(self):
         answers = await asyncio.gather(
@@ -102,7 +102,7 @@
     async def test_a_host_frozen_across_the_change_wakes_to_cut_off_terms(self):
         await self.change(SHARE_OF_TISZA % 5)
         view = self.h1.lease.view()
-        self.assertTrue(view.lapsed)
+        self.assertTrue(view.lease_expired)
         account = view.configuration.accounts_by_name["tisza"]
         self.assertEqual((account.share, account.staleness_bound), (2, 2))
         self.assertNotIn("derwent", view.configuration.accounts_by_name)
@@ -112,7 +112,7 @@
         await self.h1.begin_poll()
         self.world.lapse()
         await self.h1.end_poll()
-        self.assertTrue(self.h1.lease.view().lapsed)
+        self.assertTrue(self.h1.lease.view().lease_expired)
 
     async def test_an_older_head_is_never_adopted_nor_renews(self):
         old = dict(self.platform.row_by_key)
@@ -121,7 +121,7 @@
         self.platform.row_by_key = old
         self.world.lapse()
         self.assertFalse(await self.h1.lease.poll())
-        self.assertTrue(self.h1.lease.view().lapsed)
+        self.assertTrue(self.h1.lease.view().lease_expired)
         self.assertEqual(self.h1.lease.version, 2)
 
     async def test_a_broken_document_neither_is_adopted_nor_renews(self):
@@ -160,14 +160,18 @@
         await self.change("ALTER ACCOUNT tisza TOKEN 'new'")
         self.world.lapse()
         view = self.h1.lease.view()
-        self.assertEqual((view.lapsed, view.configuration.accounts_by_name), (True, {}))
+        self.assertEqual(
+            (view.lease_expired, view.configuration.accounts_by_name), (True, {})
+        )
 
     async def test_a_dropped_account_is_not_served_by_a_host_that_lapsed(self):
         self.h1.platform.cut = True
         answer = await self.change("DROP ACCOUNT tisza")
         self.assertIsInstance(answer, Accepted)
         view = self.h1.lease.view()
-        self.assertEqual((view.lapsed, view.configuration.accounts_by_name), (True, {}))
+        self.assertEqual(
+            (view.lease_expired, view.configuration.accounts_by_name), (True, {})
+        )
 
     async def test_a_peer_offers_only_what_is_left_of_its_lease(self):
         self.clock.ms += 4000
@@ -177,10 +181,10 @@
         self.assertFalse(await late.lease.poll())
         await late.lease.ask_peers()
         self.assertTrue(late.lease.ready())
-        self.assertFalse(late.lease.view().lapsed)
+        self.assertFalse(late.lease.view().lease_expired)
         end_ms = self.h0.lease._lease_end_ms
         self.clock.ms = end_ms
-        self.assertTrue(late.lease.view().lapsed)
+        self.assertTrue(late.lease.view().lease_expired)
 
     async def test_a_lapsed_peer_offers_a_lapsed_view(self):
         self.world.lapse()
@@ -188,7 +192,7 @@
         late.platform.cut = True
         await late.lease.ask_peers()
         view = late.lease.view()
-        self.assertEqual((view.lapsed, late.lease.version), (True, 1))
+        self.assertEqual((view.lease_expired, late.lease.version), (True, 1))
         self.assertEqual(list(view.configuration.accounts_by_name), ["tisza"])
 
     async def test_hosts_that_were_handed_terms_must_acknowledge_too(self):
@@ -289,7 +293,7 @@
 
     def _staleness(self, host):
         view = host.lease.view()
-        self.assertTrue(view.lapsed)
+        self.assertTrue(view.lease_expired)
         return view.configuration.accounts_by_name["tisza"].staleness_bound
 
     def _once_written(self, act):
@@ -424,7 +428,7 @@
             view = host.lease.view()
             if not host.lease.ready() or view.configuration.version >= version:
                 continue
-            assert view.lapsed, f"{host.id} acts on {view.configuration.version}"
+            assert view.lease_expired, f"{host.id} acts on {view.configuration.version}"
             upstreams = view.configuration.upstreams_by_name.values()
             part = CutOffPart(
                 view.configuration.accounts_by_name,
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -18,7 +18,7 @@
     try_bound_ms,
 )
 from goldcrestmoor.request.upstream_choice import Choice, choose_upstream
-from goldcrestmoor.version.configuration.routes import Repeat
+from goldcrestmoor.version.configuration.routes import RetryPolicy
 from goldcrestmoor.version.weights.load_plan import (
     Demand,
     EngineWeights,
@@ -419,31 +419,33 @@
 
 class SendAgainTest(unittest.TestCase):
     def test_a_lost_answer_of_a_repeatable_request_is_tried_elsewhere(self):
-        decision = after_try(Ran.UNKNOWN, Repeat.FREELY, 1, 2, 500, True)
+        decision = after_try(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 1, 2, 500, True)
         self.assertEqual(decision, SendAgain())
 
     def test_a_request_that_may_run_once_ends_with_what_is_known(self):
-        decision = after_try(Ran.UNKNOWN, Repeat.NEVER, 1, 3, 500, True)
+        decision = after_try(Ran.UNKNOWN, RetryPolicy.NEVER, 1, 3, 500, True)
         self.assertEqual(decision, GiveUp(ErrorKind.UPSTREAM_FAILED, 0))
 
     def test_a_request_that_surely_did_not_run_goes_on(self):
-        decision = after_try(Ran.NOT_RUN, Repeat.NEVER, 0, 1, 500, True)
+        decision = after_try(Ran.NOT_RUN, RetryPolicy.NEVER, 0, 1, 500, True)
         self.assertEqual(decision, SendAgain())
 
     def test_full_upstreams_are_a_refusal_at_once(self):
-        decision = after_try(Ran.NOT_RUN, Repeat.FREELY, 0, 2, 500, False)
+        decision = after_try(Ran.NOT_RUN, RetryPolicy.IDEMPOTENT, 0, 2, 500, False)
         self.assertEqual(decision.kind, ErrorKind.OVERLOADED)
 
     def test_no_more_upstreams_run_it_than_the_route_allows(self):
-        decision = after_try(Ran.UNKNOWN, Repeat.FREELY, 2, 2, 500, True)
+        decision = after_try(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 2, 2, 500, True)
         self.assertEqual(decision.kind, ErrorKind.UPSTREAM_FAILED)
 
     def test_the_first_try_leaves_time_for_the_second(self):
-        first = try_bound_ms(Repeat.FREELY, 0, 2, 800, 192, True)
+        first = try_bound_ms(RetryPolicy.IDEMPOTENT, 0, 2, 800, 192, True)
         self.assertLess(first, 400)
         self.assertGreaterEqual(first, 192)
-        self.assertEqual(try_bound_ms(Repeat.FREELY, 1, 2, 440, 192, True), 440)
-        self.assertEqual(try_bound_ms(Repeat.NEVER, 0, 2, 800, 192, True), 800)
+        self.assertEqual(
+            try_bound_ms(RetryPolicy.IDEMPOTENT, 1, 2, 440, 192, True), 440
+        )
+        self.assertEqual(try_bound_ms(RetryPolicy.NEVER, 0, 2, 800, 192, True), 800)
 
 
 if __name__ == "__main__":
--- a/test/test_job_run.py
+++ b/test/test_job_run.py
@@ -17,13 +17,13 @@
 from goldcrestmoor.request.event_stream import Event
 from goldcrestmoor.version.configuration.routes import (
     CallerLimits,
-    JobTerms,
-    Repeat,
+    JobPolicy,
+    RetryPolicy,
     Route,
     RouteKind,
     RouteTable,
     ServiceShare,
-    by_host,
+    group_by_host,
 )
 from test import _common
 
@@ -33,14 +33,14 @@
     host="h",
     path_prefix="/",
     kind=RouteKind.JOB,
-    repeat=Repeat.RESUMED,
+    retry_policy=RetryPolicy.RESUMABLE,
     shares=(ServiceShare("pool"),),
     timeout_ms=10_000,
     target_ms=400,
     attempts=3,
-    job=JobTerms(7500, 40_000),
+    job=JobPolicy(7500, 40_000),
 )
-TABLE = RouteTable(1, by_host([ROUTE]), {}, CallerLimits(1, 1, 1, 1))
+TABLE = RouteTable(1, group_by_host([ROUTE]), {}, CallerLimits(1, 1, 1, 1))
 
 
 class FakeStore:
@@ -81,7 +81,7 @@
         return list(self.upstream_by_name.values())
 
 
-class FakeTries:
+class FakeExecutor:
     """Runs items for as long as they are held."""
 
     def __init__(self):
@@ -107,7 +107,7 @@
         process_id="me",
         listed_ids=set(),
         partials=partials or {},
-        terms=ROUTE.job,
+        policy=ROUTE.job,
         priority=1,
         clock=Clock(),
         store=store,
@@ -124,12 +124,12 @@
 
 class JobRunTest(unittest.IsolatedAsyncioTestCase):
     def make_scheduler(self, names="ab"):
-        self.tries = FakeTries()
+        self.executor = FakeExecutor()
         self.pool = EnginePool(clock=Clock(), directory=FakeDirectory(names))
         return Scheduler(
             clock=Clock(),
             pool=self.pool,
-            tries=self.tries,
+            executor=self.executor,
             routes=lambda: TABLE,
             metrics=Metrics(),
         )
@@ -151,8 +151,8 @@
         running = asyncio.create_task(scheduler.run())
         self.addCleanup(running.cancel)
         listing = asyncio.create_task(run.list_results())
-        await _common.eventually(lambda: len(self.tries.running) == 4, timeout_s=1)
-        for done in self.tries.running.values():
+        await _common.eventually(lambda: len(self.executor.running) == 4, timeout_s=1)
+        for done in self.executor.running.values():
             done.set_result(None)
         await asyncio.sleep(0.1)
         self.assertEqual((store.kept.state.runner, store.results), ("", []))
@@ -209,7 +209,7 @@
         moved.task.cancel()
         running = asyncio.create_task(scheduler.run())
         self.addCleanup(running.cancel)
-        await _common.eventually(lambda: len(self.tries.running) == 6)
+        await _common.eventually(lambda: len(self.executor.running) == 6)
         self.assertFalse(moved.is_moving)
         run.stop()
         await _common.eventually(lambda: not self.in_flight())
@@ -259,11 +259,11 @@
         running = asyncio.create_task(scheduler.run())
         self.addCleanup(running.cancel)
         listing = asyncio.create_task(run.list_results())
-        await _common.eventually(lambda: len(self.tries.running) == 3)
+        await _common.eventually(lambda: len(self.executor.running) == 3)
         # Far fewer events than are kept while the job is run here.
         for number in range(3):
             long.add(Event(str(number), f"e{number}", None, b""), 1)
-        self.tries.running[short.item.id].set_result(None)
+        self.executor.running[short.item.id].set_result(None)
         await asyncio.sleep(0.01)
         async with asyncio.timeout(0.3):
             await run.hand_over()
@@ -273,7 +273,7 @@
         self.assertEqual(again.waiting[long.position].events, ["e0", "e1", "e2"])
         scheduler.wake()
         await asyncio.sleep(0.05)
-        self.assertEqual(len(self.tries.seen), 3)
+        self.assertEqual(len(self.executor.seen), 3)
 
     async def test_finished_items_are_listed_together(self):
         scheduler = self.make_scheduler()
@@ -283,7 +283,7 @@
         self.addCleanup(running.cancel)
         listing = asyncio.create_task(run.list_results())
         await asyncio.sleep(0.05)
-        for done in self.tries.running.values():
+        for done in self.executor.running.values():
             done.set_result(None)
         async with asyncio.timeout(2):
             await listing
--- a/test/test_job_supervisor.py
+++ b/test/test_job_supervisor.py
@@ -6,9 +6,9 @@
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.job.job import Job, JobState
-from goldcrestmoor.job.job_api import Desk
+from goldcrestmoor.job.job_api import JobApi
 from goldcrestmoor.job.job_store import KeptState
-from goldcrestmoor.job.job_supervisor import Board
+from goldcrestmoor.job.job_supervisor import JobSupervisor
 from goldcrestmoor.job.runner_choice import FAR_DELAY_MS, NEAR_DELAY_MS
 from goldcrestmoor.request.event_stream import Event
 from test import _common
@@ -44,8 +44,8 @@
 class FakeStore:
     """Accepts a job; the board's feed tells of it before the write is answered."""
 
-    def __init__(self, board):
-        self._board = board
+    def __init__(self, supervisor):
+        self._supervisor = supervisor
         self.failure = None
 
     def now_ms(self):
@@ -55,7 +55,7 @@
         if self.failure:
             raise self.failure
         kept = KeptState(JobState(job.host, job.path, job.model, 1, 0, zone=zone), 1)
-        self._board.note(job.id, kept)
+        self._supervisor.note(job.id, kept)
         await asyncio.sleep(0.01)
         return kept
 
@@ -64,7 +64,7 @@
     def setUp(self):
         self.clock = Clock()
         self.duties = FakeDuties(self.clock)
-        self.board = Board(
+        self.supervisor = JobSupervisor(
             clock=self.clock,
             store=None,
             duties=self.duties,
@@ -75,18 +75,18 @@
             kept_ms=60_000,
             is_cut_off=lambda: False,
         )
-        self.store = FakeStore(self.board)
-        self.desk = Desk(
+        self.store = FakeStore(self.supervisor)
+        self.job_api = JobApi(
             clock=self.clock,
             store=self.store,
-            board=self.board,
+            supervisor=self.supervisor,
             zone="zone-a",
             is_current=lambda: True,
         )
 
     async def asyncSetUp(self):
-        self.task = asyncio.create_task(self.board.run())
-        self.addAsyncCleanup(self.board.close)
+        self.task = asyncio.create_task(self.supervisor.run())
+        self.addAsyncCleanup(self.supervisor.close)
         self.addCleanup(self.task.cancel)
         await asyncio.sleep(0)
 
@@ -98,11 +98,11 @@
     def hear(self, zone):
         """Take in that a host of a zone has accepted the job."""
         state = JobState(JOB.host, JOB.path, JOB.model, 1, 0, zone=zone)
-        self.board.note(JOB.id, KeptState(state, 1))
+        self.supervisor.note(JOB.id, KeptState(state, 1))
 
     async def test_the_host_that_accepts_a_job_takes_it_up_at_once(self):
         seen_ms = self.clock.now_ms()
-        await self.desk.submit(JOB)
+        await self.job_api.submit(JOB)
         self.assertLess(await self.claim_ms(seen_ms), AT_ONCE_MS)
 
     async def test_a_host_beside_the_accepting_one_leaves_it_the_job(self):
@@ -128,17 +128,17 @@
         item = run.waiting[0]
         run.start(item, "a")
         item.add(Event("0", "e0", None, b""), 1)
-        self.board._runs_by_job[run.job.id] = run
+        self.supervisor._runs_by_job[run.job.id] = run
         listing = asyncio.create_task(run.list_results())
         self.addCleanup(listing.cancel)
         async with asyncio.timeout(0.5):
-            await self.board.hand_over(5000)
+            await self.supervisor.hand_over(5000)
         self.assertEqual([p.events for p in store.partials], [("e0",)])
 
     async def test_a_job_that_was_not_accepted_is_not_at_hand(self):
         self.store.failure = ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
         with self.assertRaises(ServiceError):
-            await self.desk.submit(JOB)
+            await self.job_api.submit(JOB)
         seen_ms = self.clock.now_ms()
         self.hear("zone-a")
         self.assertGreaterEqual(await self.claim_ms(seen_ms), NEAR_DELAY_MS)
--- a/test/test_language.py
+++ b/test/test_language.py
@@ -23,7 +23,10 @@
 from goldcrestmoor.language.parser import parse
 from goldcrestmoor.language.routes import register_routes
 from goldcrestmoor.process.decision_log import Decisions
-from goldcrestmoor.version.configuration.document import Configuration, StreamRule
+from goldcrestmoor.version.configuration.document import (
+    Configuration,
+    VersionChangePolicy,
+)
 from test import _common
 from test._configuration import INITIAL, World
 
@@ -100,7 +103,7 @@
         self.assertEqual((account.share, account.staleness_bound), (4, 3))
         self.assertEqual(account.token_hash, util.hash_token("a"))
         self.assertFalse(account.delivery.hedge)
-        self.assertEqual(account.delivery.on_version_change, StreamRule.CANCEL)
+        self.assertEqual(account.delivery.on_version_change, VersionChangePolicy.CANCEL)
         self.assertEqual((account.cut_off.serve, account.cut_off.share), (False, 2))
 
     def test_draining(self):
--- a/test/test_order_log.py
+++ b/test/test_order_log.py
@@ -55,7 +55,7 @@
     async def test_an_order_is_given_while_the_store_is_slow(self):
         """Sixty times slower, an entry waits behind three hosts' writes."""
         log = self.make(write_ms=1200, read_ms=240)
-        self.assertEqual(await log.enter("engine"), 1)
+        self.assertEqual(await log.append("engine"), 1)
         entry = msgspec.json.decode(self.store.row.value, type=OrderEntry)
         # Another host counts the turn from when the order may have left.
         left_ms = self.clock.now_ms()
@@ -65,7 +65,7 @@
     async def test_an_order_that_comes_too_late_is_not_given(self):
         log = self.make(write_ms=1200, read_ms=5)
         with self.assertRaises(ServiceError) as caught:
-            await log.enter("engine")
+            await log.append("engine")
         self.assertIs(caught.exception.kind, ErrorKind.PLATFORM_UNAVAILABLE)
 
 
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -6,7 +6,7 @@
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.token_chunk import Piece, Segment
-from goldcrestmoor.version.configuration.document import StreamRule
+from goldcrestmoor.version.configuration.document import VersionChangePolicy
 from goldcrestmoor.version.steps import step_holder, step_records, step_state
 from goldcrestmoor.version.steps.step_rows import make_source
 from goldcrestmoor.version.steps.step_state import StepState
@@ -483,7 +483,9 @@
         self.assertEqual(len(fleet.engines.calls), 2)
 
     async def test_the_rule_cancel_stops_older_streams_at_once(self):
-        fleet = self.make_fleet("a", bound=5, on_version_change=StreamRule.CANCEL)
+        fleet = self.make_fleet(
+            "a", bound=5, on_version_change=VersionChangePolicy.CANCEL
+        )
         gate, reached = asyncio.Event(), asyncio.Event()
         old = Piece("old", 1, 1, "e"), Piece("", 1, 1, "e", "stop")
         fleet.engines.script_by_seed[0] = [stream(*old, gate=gate, reached=reached)]
--- a/test/test_stragglers.py
+++ b/test/test_stragglers.py
@@ -4,16 +4,16 @@
 
 from goldcrestmoor.version.steps.steps import Slot
 from goldcrestmoor.version.steps.stragglers import (
-    AsNumbered,
     Continue,
     Copy,
+    IndexOrder,
     Lengths,
     Progress,
     Wait,
     decide,
     start_order,
 )
-from goldcrestmoor.version.weights.publish_interval import PublishingPace
+from goldcrestmoor.version.weights.publish_interval import PublishIntervalEstimator
 
 
 def lengths(**tokens_by_group):
@@ -32,7 +32,7 @@
 
     def test_the_plain_order_is_by_number(self):
         slots = [Slot(1, 0), Slot(0, 1), Slot(0, 0)]
-        order = start_order(slots, lengths(g1=90), {0: 10, 1: 100}, AsNumbered())
+        order = start_order(slots, lengths(g1=90), {0: 10, 1: 100}, IndexOrder())
         self.assertEqual(order, sorted(slots))
 
     def test_without_lengths_the_bound_decides(self):
@@ -42,13 +42,13 @@
 
 class PublishingPaceTest(unittest.TestCase):
     def test_the_time_of_being_too_old_follows_the_intervals(self):
-        pace = PublishingPace(1)
-        self.assertIsNone(pace.too_old_from_ms(1, bound=1))
+        pace = PublishIntervalEstimator(1)
+        self.assertIsNone(pace.expires_at_ms(1, bound=1))
         for version, now_ms in ((2, 1000), (3, 3000), (3, 3500), (5, 7000)):
-            pace.note(version, now_ms)
+            pace.record(version, now_ms)
         # Two versions took 4 s: version 6 is due at 9 s and makes version 4 too old.
-        self.assertEqual(pace.too_old_from_ms(4, bound=1), 9000)
-        self.assertEqual(pace.too_old_from_ms(5, bound=1), 11_000)
+        self.assertEqual(pace.expires_at_ms(4, bound=1), 9000)
+        self.assertEqual(pace.expires_at_ms(5, bound=1), 11_000)
 
 
 class DecideTest(unittest.TestCase):
--- a/test/test_streaming.py
+++ b/test/test_streaming.py
@@ -12,7 +12,7 @@
 from goldcrestmoor.request.streaming import StreamForwarder
 from goldcrestmoor.request.upstream_loads import UpstreamLoads
 from goldcrestmoor.version.configuration.routes import (
-    Repeat,
+    RetryPolicy,
     Route,
     RouteKind,
     ServiceShare,
@@ -28,7 +28,7 @@
     host="h",
     path_prefix="/",
     kind=RouteKind.STREAM,
-    repeat=Repeat.RESUMED,
+    retry_policy=RetryPolicy.RESUMABLE,
     shares=(ServiceShare(SERVICE),),
     timeout_ms=DEADLINE_MS,
     target_ms=400,
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -11,10 +11,13 @@
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.document import Configuration, Pool, Upstream
 from goldcrestmoor.version.weights.engine_versions import EngineVersionTable
-from goldcrestmoor.version.weights.published_versions import WeightVersions
+from goldcrestmoor.version.weights.published_versions import PublishedVersions
 from goldcrestmoor.version.weights.rollout_strategies import Rolling
 from goldcrestmoor.version.weights.weight_messages import VersionPublished
-from goldcrestmoor.version.weights.weight_update_manager import LEASE_MS, WeightOrders
+from goldcrestmoor.version.weights.weight_update_manager import (
+    LEASE_MS,
+    WeightUpdateManager,
+)
 from goldcrestmoor.version.weights.weight_updater import ORDER_TIMEOUT_MS
 from test import _table
 from test._fleet import FakeLinks, HostClock, ManualClock, Network
@@ -110,11 +113,13 @@
         engine_versions = EngineVersionTable(
             links=links, spread=spread, configuration=self.configuration
         )
-        versions = WeightVersions(clock=clock, table=table, links=links, spread=spread)
+        versions = PublishedVersions(
+            clock=clock, table=table, links=links, spread=spread
+        )
         leases = LeaseClient(clock=clock, table=table, host_id=host_id)
         self.addAsyncCleanup(leases.close)
         engines = FakeEngines(self.engines_by_name)
-        orders = WeightOrders(
+        orders = WeightUpdateManager(
             clock=clock,
             leases=leases,
             ownership=SimpleNamespace(preferred=lambda *_: [*self.hosts_by_id]),
