--- a/goldcrestmoor/adapters/engine.py
+++ b/goldcrestmoor/adapters/engine.py
@@ -6,7 +6,7 @@
 from goldcrestmoor.adapters.leaving import says_leaving
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.token_chunk import Piece
+from goldcrestmoor.request.token_chunk import TokenChunk
 
 JSON_HEADER = (b"Content-Type", b"application/json")
 EVENT_PREFIX = b"data:"
@@ -77,7 +77,7 @@
         request_id,
         timeout_ms,
         resume_text="",
-        silence_ms=None,
+        idle_timeout_ms=None,
     ):
         """Yield the pieces of one stream as they come.
 
@@ -89,7 +89,7 @@
         :param request_id: what :meth:`cancel` names the stream by.
         :param timeout_ms: when to give up, in milliseconds.
         :param resume_text: what an earlier stream made already.
-        :param silence_ms: how long the engine may send no event.
+        :param idle_timeout_ms: how long the engine may send no event.
         :raises ServiceError: ``UPSTREAM_FAILED`` when the stream ends without its
             end mark or an event states no version, ``UPSTREAM_TIMEOUT`` when the
             engine is silent.
@@ -115,15 +115,17 @@
                 headers,
                 body,
                 timeout_ms,
-                head_timeout_ms=silence_ms,
-                progress_timeout_ms=silence_ms,
+                head_timeout_ms=idle_timeout_ms,
+                progress_timeout_ms=idle_timeout_ms,
             )
             async with opened as response:
                 if says_leaving(response.headers):
                     self._on_leaving(upstream.name)
                 _check_status(response.status, upstream)
                 last = None
-                events = _events(response.body(), upstream, self._clock, silence_ms)
+                events = _events(
+                    response.body(), upstream, self._clock, idle_timeout_ms
+                )
                 async for data in events:
                     if last is not None:
                         yield last
@@ -215,7 +217,7 @@
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text) from e
 
 
-async def _events(chunks, upstream, clock, silence_ms):
+async def _events(chunks, upstream, clock, idle_timeout_ms):
     """Yield the data of each server-sent event, up to the end mark.
 
     Silence on the connection is the HTTP client's to notice; bytes that are no
@@ -235,8 +237,8 @@
             if data == END_MARK:
                 return
             yield data
-        if silence_ms is not None and now_ms - heard_ms > silence_ms:
-            text = f"{upstream.name} sent no event for {silence_ms} ms."
+        if idle_timeout_ms is not None and now_ms - heard_ms > idle_timeout_ms:
+            text = f"{upstream.name} sent no event for {idle_timeout_ms} ms."
             raise ServiceError(ErrorKind.UPSTREAM_TIMEOUT, text)
         if len(buffer) > MAX_EVENT_BYTES:
             break
@@ -251,4 +253,4 @@
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text)
     choice = event.choices[0]
     reason = choice.finish_reason or ""
-    return Piece(choice.text, event.tokens, event.version, upstream.name, reason)
+    return TokenChunk(choice.text, event.tokens, event.version, upstream.name, reason)
--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from goldcrestmoor.adapters.table import CheckFailed, Committed, Row
-from goldcrestmoor.connection.adaptive_timeout import Patience
+from goldcrestmoor.connection.adaptive_timeout import AdaptiveTimeout
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.util import Backoff, TaskGroup
 
@@ -127,7 +127,7 @@
         "_clock",
         "_send",
         "_timeout_ms",
-        "_patience",
+        "_timeout",
         "_backoff",
         "_pause_ms",
         "_waiting",
@@ -139,7 +139,7 @@
         self._clock = clock
         self._send = send
         self._timeout_ms = timeout_ms
-        self._patience = Patience(MIN_PATIENCE_MS, MAX_PATIENCE_MS, read_ms)
+        self._timeout = AdaptiveTimeout(MIN_PATIENCE_MS, MAX_PATIENCE_MS, read_ms)
         self._backoff = Backoff(MIN_TURNED_AWAY_MS, MAX_TURNED_AWAY_MS)
         self._pause_ms = 0
         self._waiting = []
@@ -172,7 +172,7 @@
         while left_ms > 0:
             await self._clock.sleep_ms(left_ms)
             # The store may have turned out to be slow meanwhile.
-            slow_ms = TIMEOUT_PATIENCES * self._patience.wait_ms()
+            slow_ms = TIMEOUT_PATIENCES * self._timeout.wait_ms()
             elapsed_ms = self._clock.now_ms() - started_ms
             left_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
         _fail(waiting, _kind(waiting), "The store gave no answer in time.")
@@ -194,7 +194,7 @@
             self._is_sending = False
 
     async def _gather(self):
-        gather_ms = min(int(self._patience.longest_ms * GATHER_SHARE), MAX_GATHER_MS)
+        gather_ms = min(int(self._timeout.longest_ms * GATHER_SHARE), MAX_GATHER_MS)
         wait_ms = max(gather_ms, self._pause_ms)
         self._pause_ms = 0
         if wait_ms:
@@ -203,11 +203,11 @@
     async def _send_patiently(self, group):
         """Send a group, and put it back after a while without an answer."""
         call = self._tasks.start(self._call(group))
-        timer = self._tasks.start(self._clock.sleep_ms(self._patience.wait_ms()))
+        timer = self._tasks.start(self._clock.sleep_ms(self._timeout.wait_ms()))
         await asyncio.wait({call, timer}, return_when=asyncio.FIRST_COMPLETED)
         timer.cancel()
         if not call.done():
-            self._patience.note_missed()
+            self._timeout.record_timeout()
             self._waiting = group + self._waiting
 
     async def _call(self, group):
@@ -221,7 +221,7 @@
                 [write for waiting in group for write in waiting.writes],
                 CALL_TIMEOUT_MS,
             )
-            self._patience.note_answer(self._clock.now_ms() - sent_ms)
+            self._timeout.record_response(self._clock.now_ms() - sent_ms)
             self._backoff.reset()
         except ServiceError as e:
             error = e
--- a/goldcrestmoor/adapters/table.py
+++ b/goldcrestmoor/adapters/table.py
@@ -50,7 +50,7 @@
     version: int
 
 
-class HistoryLost(msgspec.Struct, frozen=True):
+class HistoryTruncated(msgspec.Struct, frozen=True):
     """The feed no longer knows what came after the version asked for."""
 
 
--- a/goldcrestmoor/commands/front.py
+++ b/goldcrestmoor/commands/front.py
@@ -6,7 +6,7 @@
 
 from goldcrestmoor import front_settings, logs, tracing
 from goldcrestmoor.errors import UserError
-from goldcrestmoor.process.front import Front
+from goldcrestmoor.process.front import FrontDaemon
 
 PATH_VARIABLE = "GOLDCRESTMOOR_SETTINGS"
 
@@ -23,4 +23,4 @@
     loaded = front_settings.load(path)
     logs.set_up(loaded.log.level, loaded.log.style, sys.stdout)
     tracing.set_up(loaded.host.id, loaded.tracing.exporter)
-    asyncio.run(Front(loaded, path).run())
+    asyncio.run(FrontDaemon(loaded, path).run())
--- a/goldcrestmoor/connection/adaptive_timeout.py
+++ b/goldcrestmoor/connection/adaptive_timeout.py
@@ -18,7 +18,7 @@
 FADE = 0.8
 
 
-class Patience:
+class AdaptiveTimeout:
     """The wait for the next answer, from how long the last ones took.
 
     :param min_ms: the shortest wait, in milliseconds.
@@ -42,7 +42,7 @@
         own_ms = int(self.longest_ms * SLACK_FACTOR)
         return max(unanswered_ms, own_ms, self._others_ms() * OTHERS_FACTOR)
 
-    def note_answer(self, elapsed_ms):
+    def record_response(self, elapsed_ms):
         """Take in how long an answer took, however late it came.
 
         :param elapsed_ms: the time, in milliseconds.
@@ -50,13 +50,13 @@
         self.longest_ms = max(elapsed_ms, self.longest_ms * FADE)
         self._missed = 0
 
-    def note_missed(self):
+    def record_timeout(self):
         """Take in that no answer came in time: wait twice as long for the next."""
         if self._min_ms << self._missed < self._max_ms:
             self._missed += 1
 
 
-class AnswerTimes:
+class ResponseTimes:
     """How long answers take at present, from calls of which some wait for news."""
 
     __slots__ = ("_times",)
@@ -64,7 +64,7 @@
     def __init__(self):
         self._times = collections.deque(maxlen=ANSWERS_KEPT)
 
-    def note(self, elapsed_ms, wait_ms):
+    def record(self, elapsed_ms, wait_ms):
         """Take in an answer.
 
         :param elapsed_ms: the time since the call, in milliseconds.
@@ -74,6 +74,6 @@
         waited_ms = wait_ms if elapsed_ms >= wait_ms else 0
         self._times.append(elapsed_ms - waited_ms)
 
-    def usual_ms(self):
+    def typical_ms(self):
         """Return the least of the last answers, in milliseconds; 0 before the first."""
         return min(self._times, default=0)
--- a/goldcrestmoor/connection/retry_budget.py
+++ b/goldcrestmoor/connection/retry_budget.py
@@ -34,7 +34,7 @@
         self._share = percent / PERCENT
         self._account_by_upstream = collections.OrderedDict()
 
-    def note_request(self, upstream):
+    def record_request(self, upstream):
         """Count a first send.
 
         :param upstream: the upstream that it went to, or its pool.
--- a/goldcrestmoor/job/engine_pool.py
+++ b/goldcrestmoor/job/engine_pool.py
@@ -45,7 +45,7 @@
     """Count what this host has in flight at each engine.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param directory: the :class:`~goldcrestmoor.process.directory.Directory`.
+    :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     """
 
     __slots__ = ("_clock", "_directory", "_found_by_key")
--- a/goldcrestmoor/job/item_run.py
+++ b/goldcrestmoor/job/item_run.py
@@ -7,7 +7,7 @@
 from goldcrestmoor import tracing
 from goldcrestmoor.errors import Ran, ServiceError
 from goldcrestmoor.job.job import Partial
-from goldcrestmoor.request.event_stream import EventReader
+from goldcrestmoor.request.event_stream import EventParser
 
 log = logging.getLogger("goldcrestmoor.items")
 
@@ -246,7 +246,7 @@
         if version is None:
             return Broken("the answer states no weight version")
         on_events(0)
-        reader = EventReader(dialect.EVENT_FIELDS)
+        reader = EventParser(dialect.EVENT_FIELDS)
         async for chunk in response.body():
             had = len(run.events)
             for event in reader.feed(chunk):
@@ -255,7 +255,7 @@
                 if fault:
                     return Broken(fault)
             on_events(len(run.events) - had)
-        if reader.has_rest or not run.events:
+        if reader.has_partial_event or not run.events:
             return Broken("the stream ended within an event")
         return Finished()
 
--- a/goldcrestmoor/job/job_supervisor.py
+++ b/goldcrestmoor/job/job_supervisor.py
@@ -234,7 +234,7 @@
         runs = [run for run in self._runs_by_job.values() if not run.is_over]
         for model in {run.job.model for run in runs} - self._reclaiming:
             name = runner_duty(model)
-            if not self._duties.holds(name) and self._duties.is_free(name):
+            if not self._duties.holds(name) and self._duties.is_claimable(name):
                 self._reclaiming.add(model)
                 self._tasks.start(self._reclaim(model), f"reclaim {name}")
 
@@ -320,17 +320,17 @@
         name = runner_duty(state.model)
         if self._duties.holds(name):
             return True
-        if not self._duties.is_free(name):
+        if not self._duties.is_claimable(name):
             return False
         delay_ms = claim_delay_ms(
             has_job=job_id in self._job_by_id,
-            held_duty=self._duties.was_held_here(name),
+            held_duty=self._duties.was_last_held_here(name),
             is_near=state.zone == self._zone,
             share=random.random(),
         )
         if delay_ms:
             await self._clock.sleep_ms(delay_ms)
-            if not self._duties.is_free(name) and not self._duties.holds(name):
+            if not self._duties.is_claimable(name) and not self._duties.holds(name):
                 return False
         return await self._duties.claim(name, RUNNER_LEASE_MS)
 
--- a/goldcrestmoor/load/player.py
+++ b/goldcrestmoor/load/player.py
@@ -11,7 +11,7 @@
 from goldcrestmoor.load.applications import complete, fetch
 from goldcrestmoor.load.tally import Tally
 from goldcrestmoor.load.trace import Completion, Fault, Fetch, Note, Publish, Step
-from goldcrestmoor.request.completion_format import CompletionAnswer
+from goldcrestmoor.request.completion_format import CompletionResponse
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.steps.step_routes import GroupBody, SubmitBody
 
@@ -139,7 +139,7 @@
         token = self._token_by_account[entry.account]
         try:
             body = await complete(self._http, url, token, entry)
-            answer = msgspec.json.decode(body, type=CompletionAnswer)
+            answer = msgspec.json.decode(body, type=CompletionResponse)
             self.tally.tokens_delivered += answer.usage.completion_tokens
         except ServiceError as e:
             self.tally.completion_failed += 1
--- a/goldcrestmoor/platform/callers.py
+++ b/goldcrestmoor/platform/callers.py
@@ -74,7 +74,7 @@
     return _number(dict(headers).get(DEADLINE_HEADER))
 
 
-def passed_on(headers):
+def forwarded_headers(headers):
     """Return the headers that a server gets as the client sent them.
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
--- a/goldcrestmoor/platform/servers.py
+++ b/goldcrestmoor/platform/servers.py
@@ -138,7 +138,7 @@
     return int(value) if value.isdigit() else None
 
 
-class EngineOrders:
+class EngineControlClient:
     """Ask engines for their state, and order weight versions.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from goldcrestmoor.adapters.group_commit import Applied, GroupCommit, Refused
-from goldcrestmoor.adapters.table import Change, Changes, HistoryLost, Row
-from goldcrestmoor.connection.adaptive_timeout import AnswerTimes
+from goldcrestmoor.adapters.table import Change, Changes, HistoryTruncated, Row
+from goldcrestmoor.connection.adaptive_timeout import ResponseTimes
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 
 log = logging.getLogger("goldcrestmoor.store")
@@ -110,22 +110,22 @@
         self._detour = None
         self._timeout_ms = timeout_ms
         self._metrics = metrics
-        self._answer_times = AnswerTimes()
+        self._answer_times = ResponseTimes()
         self._commits = GroupCommit(
             clock=clock,
             send=self._commit,
             timeout_ms=timeout_ms,
-            read_ms=self.answer_ms,
+            read_ms=self.latency_ms,
         )
         self._ahead_ms = None
         self._refused_ms = None
 
     @property
-    def is_going_round(self):
+    def is_relayed(self):
         """Whether calls go to a host that passes them on."""
         return self._detour is not None
 
-    def go_round(self, address, port, prefix):
+    def use_relay(self, address, port, prefix):
         """Send calls to a host that passes them on, from now on.
 
         :param address: its IP address.
@@ -134,17 +134,17 @@
         """
         self._detour = (address, port, prefix)
 
-    def refused_age_ms(self):
+    def rejection_age_ms(self):
         """Return the time since the store last turned a call away, or None."""
         if self._refused_ms is None:
             return None
         return self._clock.now_ms() - self._refused_ms
 
-    def answer_ms(self):
+    def latency_ms(self):
         """Return how long the store takes for an answer at present, in milliseconds."""
-        return self._answer_times.usual_ms()
+        return self._answer_times.typical_ms()
 
-    async def try_straight(self):
+    async def probe_direct(self):
         """Ask the store without a detour, and take none any more if it answers."""
         try:
             await self._http.request(
@@ -155,7 +155,7 @@
             return
         self._detour = None
 
-    async def pass_on(self, method, target, headers, body, timeout_ms):
+    async def relay(self, method, target, headers, body, timeout_ms):
         """Send another host's call to the store, once, and return the answer.
 
         :param timeout_ms: how long it may take.
@@ -213,7 +213,7 @@
         :param table: the table's name.
         :param after: the version to go on from.
         :param wait_ms: how long to wait, in milliseconds.
-        :return: :class:`Changes` or :class:`HistoryLost`.
+        :return: :class:`Changes` or :class:`HistoryTruncated`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         query = _query(table=table, after=after, waitMs=wait_ms)
@@ -221,9 +221,9 @@
         response = await self._send(
             "feed", "GET", f"/rows-feed?{query}", timeout_ms=wait_ms + FEED_SLACK_MS
         )
-        self._answer_times.note(self._clock.now_ms() - asked_ms, wait_ms)
+        self._answer_times.record(self._clock.now_ms() - asked_ms, wait_ms)
         if response.status == STATUS_GONE:
-            return HistoryLost()
+            return HistoryTruncated()
         answer = self._decode(response, _answer_decoder, ErrorKind.PLATFORM_UNAVAILABLE)
         changes = [
             Change(row.key, row.ver, None if row.deleted else _value(row))
--- a/goldcrestmoor/process/broadcast.py
+++ b/goldcrestmoor/process/broadcast.py
@@ -6,7 +6,7 @@
 FAN_OUT = 8
 
 
-class Spread:
+class TreeBroadcast:
     """Passes messages on, so that no host sends more than a few copies.
 
     A message may be lost with a host that dies on the way. Whoever uses this
@@ -24,7 +24,7 @@
         self._membership = membership
         self._host_id = host_id
 
-    def start(self, message, zone=None):
+    def broadcast(self, message, zone=None):
         """Send a message to every other live host.
 
         :param message: a message with a field ``targets``.
@@ -34,9 +34,9 @@
             self._membership.live(zone), key=lambda record: (record.zone, record.id)
         )
         ids = (record.id for record in live if record.id != self._host_id)
-        self.pass_on(message, tuple(ids))
+        self.forward(message, tuple(ids))
 
-    def pass_on(self, message, targets):
+    def forward(self, message, targets):
         """Send a message on to the hosts that it names.
 
         :param message: a message with a field ``targets``.
--- a/goldcrestmoor/process/callers.py
+++ b/goldcrestmoor/process/callers.py
@@ -6,15 +6,15 @@
 from goldcrestmoor.request import app_routes, completion_routes
 from goldcrestmoor.request.admission import AdmissionClient
 from goldcrestmoor.request.admission_owner import AdmissionOwner
-from goldcrestmoor.request.apps import Applications
+from goldcrestmoor.request.apps import ApplicationClient
 from goldcrestmoor.request.authentication import Authenticator
 from goldcrestmoor.request.claim_sweeper import ClaimSweeper
-from goldcrestmoor.request.claims import Claims
+from goldcrestmoor.request.claims import ClaimedKeys
 from goldcrestmoor.request.completions import Completions
-from goldcrestmoor.request.idempotency_keys import Keys
+from goldcrestmoor.request.idempotency_keys import IdempotencyKeys
 from goldcrestmoor.request.key_mint import KeyMint
-from goldcrestmoor.request.minted_keys import BoundKeys
-from goldcrestmoor.request.outcome_cache import KeyMemory
+from goldcrestmoor.request.minted_keys import MintedKeys
+from goldcrestmoor.request.outcome_cache import OutcomeCache
 from goldcrestmoor.request.placement import Placement, TwoChoices
 from goldcrestmoor.version.steps import step_routes
 from goldcrestmoor.version.steps.step_gateway import StepGateway
@@ -50,7 +50,7 @@
         self._daemon = daemon
         self._make_admission()
         self._make_steps()
-        self.applications = Applications(
+        self.applications = ApplicationClient(
             clock=daemon.clock,
             http=daemon.http,
             placement=self._placement(TwoChoices()),
@@ -114,7 +114,7 @@
             policy=policy,
             health=daemon.health,
             is_leaving=self.is_leaving,
-            zone_answers=lambda zone: bool(daemon.membership.live(zone)),
+            is_zone_live=lambda zone: bool(daemon.membership.live(zone)),
         )
 
     def is_leaving(self, upstream):
@@ -138,7 +138,7 @@
             membership=daemon.membership,
             is_leaving=self.is_leaving,
             order=policies.queue_order(daemon.settings.policy),
-            refuses_early=daemon.settings.policy.early_refusal,
+            rejects_early=daemon.settings.policy.early_refusal,
         )
         self.admission = AdmissionClient(
             clock=daemon.clock,
@@ -221,12 +221,12 @@
             incarnation=incarnation,
             secret=settings.security.fleet_secret_key,
         )
-        self._memory = KeyMemory(
+        self._memory = OutcomeCache(
             clock=daemon.clock,
             settings=settings.idempotency,
             in_flight=daemon.in_flight,
         )
-        bound = BoundKeys(
+        bound = MintedKeys(
             clock=daemon.clock,
             mint=mint,
             memory=self._memory,
@@ -236,7 +236,7 @@
             lease=daemon.lease,
             settings=settings.idempotency,
         )
-        self._claims = Claims(
+        self._claims = ClaimedKeys(
             clock=daemon.clock,
             host_id=settings.host.id,
             incarnation=incarnation,
@@ -246,7 +246,7 @@
             links=daemon.links,
             settings=settings.idempotency,
         )
-        return Keys(mint=mint, bound=bound, claims=self._claims)
+        return IdempotencyKeys(mint=mint, bound=bound, claims=self._claims)
 
     def _register_routes(self, keys):
         daemon = self._daemon
--- a/goldcrestmoor/process/daemon.py
+++ b/goldcrestmoor/process/daemon.py
@@ -15,9 +15,9 @@
 from goldcrestmoor.connection.peers import PeerLinks
 from goldcrestmoor.connection.retry_budget import RetryBudget
 from goldcrestmoor.process import policies
-from goldcrestmoor.process.broadcast import Spread
+from goldcrestmoor.process.broadcast import TreeBroadcast
 from goldcrestmoor.process.callers import Callers
-from goldcrestmoor.process.decision_log import Decisions
+from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.process.leases import LeaseClient
 from goldcrestmoor.process.leaving_answers import LeavingAnswers
 from goldcrestmoor.process.membership import Membership
@@ -61,7 +61,7 @@
         "lease",
         "ownership",
         "leases",
-        "spread",
+        "broadcast",
         "leaving",
         "versions",
         "engines",
@@ -79,7 +79,7 @@
         self.settings = settings
         self.clock = Clock()
         self.metrics = Metrics()
-        self.decisions = Decisions(self.clock)
+        self.decisions = DecisionLog(self.clock)
         self._stop = asyncio.Event()
         self._tasks = TaskGroup()
         self._make_outside_clients()
@@ -154,11 +154,11 @@
             draining_hosts=lambda: self.configuration().draining_hosts,
         )
         self.leases = LeaseClient(clock=self.clock, table=self.table, host_id=host.id)
-        self.spread = Spread(
+        self.broadcast = TreeBroadcast(
             links=self.links, membership=self.membership, host_id=host.id
         )
         self.leaving = LeavingAnswers(
-            clock=self.clock, links=self.links, spread=self.spread
+            clock=self.clock, links=self.links, broadcast=self.broadcast
         )
         self.engines = EngineClient(
             http=self.http, clock=self.clock, on_leaving=self.leaving.note
@@ -181,7 +181,7 @@
             clock=self.clock,
             table=self.table,
             links=self.links,
-            spread=self.spread,
+            broadcast=self.broadcast,
             weight_store=WeightStoreClient(
                 clock=self.clock,
                 http=self.http,
@@ -190,7 +190,7 @@
             ),
         )
         self.engine_versions = EngineVersionTable(
-            links=self.links, spread=self.spread, configuration=self.configuration
+            links=self.links, broadcast=self.broadcast, configuration=self.configuration
         )
         self.orders = WeightUpdateManager(
             clock=self.clock,
--- a/goldcrestmoor/process/decision_log.py
+++ b/goldcrestmoor/process/decision_log.py
@@ -27,7 +27,7 @@
     text: str
 
 
-class Decisions:
+class DecisionLog:
     """The last decisions of this host, by request and in order.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -40,7 +40,7 @@
         self._by_request_id = collections.OrderedDict()
         self._recent = collections.deque(maxlen=MAX_RECENT)
 
-    def note(self, part, request_id, text):
+    def record(self, part, request_id, text):
         """Keep one decision.
 
         :param part: the part that decided.
--- a/goldcrestmoor/process/directory.py
+++ b/goldcrestmoor/process/directory.py
@@ -38,7 +38,7 @@
     started_ms: int = 0
 
 
-class Directory:
+class UpstreamDirectory:
     """The listed upstreams, by name and by service.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -99,7 +99,7 @@
             and known.started_ms == upstream.started_ms
         )
 
-    def note_return(self):
+    def on_feed_recovered(self):
         """Note that the store has come back after an outage."""
         self._returned_ms = self._clock.now_ms()
         # Upstreams could not come back while it was away.
--- a/goldcrestmoor/process/duties.py
+++ b/goldcrestmoor/process/duties.py
@@ -42,7 +42,7 @@
             self._seen_by_name[change.key] = row
             self._leases.observe(change.key, change.version)
 
-    def note_return(self):
+    def on_feed_recovered(self):
         """Note that the store is back: others' holders get their whole time again."""
         self._leases.restart_watches()
 
@@ -54,7 +54,7 @@
         lease = self._held_by_name.get(name)
         return lease is not None and lease.holds()
 
-    def is_free(self, name):
+    def is_claimable(self, name):
         """Tell whether a duty may be claimed, as far as the feed has told.
 
         While the feed is silent a holder may renew unseen, or be as cut off from the
@@ -67,7 +67,7 @@
         row = self._seen_by_name.get(name)
         return row is None or self._leases.may_take(name, row)
 
-    def was_held_here(self, name):
+    def was_last_held_here(self, name):
         """Tell whether a process of this host was the last to take a duty.
 
         :param name: the duty.
@@ -82,7 +82,7 @@
         :param duration_ms: how long the lease lasts without renewal.
         :raises ServiceError: when the store cannot be asked.
         """
-        if not self.holds(name) and not self.is_free(name):
+        if not self.holds(name) and not self.is_claimable(name):
             return False
         lease = await self._leases.acquire(name, duration_ms)
         if lease is None:
--- a/goldcrestmoor/process/follower.py
+++ b/goldcrestmoor/process/follower.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from goldcrestmoor.adapters.table import Change, Changes, HistoryLost, Row
+from goldcrestmoor.adapters.table import Change, Changes, HistoryTruncated, Row
 from goldcrestmoor.errors import ServiceError
 from goldcrestmoor.util import Backoff
 
@@ -105,7 +105,7 @@
         wait_ms = 0 if self._has_failed else FEED_WAIT_MS
         answer = await self._store.changes(self._table, self._version, wait_ms)
         match answer:
-            case HistoryLost():
+            case HistoryTruncated():
                 log.info("The feed of %s lost its history; reading all.", self._table)
                 self._version = None
             case Changes(changes, version):
--- a/goldcrestmoor/process/front.py
+++ b/goldcrestmoor/process/front.py
@@ -21,7 +21,7 @@
 from goldcrestmoor.platform import callers as caller_dialect, records, servers
 from goldcrestmoor.platform.store import StoreClient
 from goldcrestmoor.process import lease_rows, store_connectivity
-from goldcrestmoor.process.directory import Directory
+from goldcrestmoor.process.directory import UpstreamDirectory
 from goldcrestmoor.process.duties import Duties
 from goldcrestmoor.process.follower import TableFollower
 from goldcrestmoor.process.front_callers import FrontCallers
@@ -30,7 +30,7 @@
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.process.routing import Routing
 from goldcrestmoor.process.shutdown import InFlight
-from goldcrestmoor.process.store_connectivity import HostRow, StoreReach
+from goldcrestmoor.process.store_connectivity import HostRow, StoreConnectivity
 from goldcrestmoor.request.forwarding import Forwarder
 from goldcrestmoor.request.streaming import StreamForwarder
 from goldcrestmoor.request.upstream_loads import UpstreamLoads
@@ -65,7 +65,7 @@
 BYTES = b"application/octet-stream"
 
 
-class Front:
+class FrontDaemon:
     """One host's process on the users' platform.
 
     :param settings: the host's
@@ -89,7 +89,7 @@
         "_supervisor",
         "_job_api",
         "_followers",
-        "_reach",
+        "_connectivity",
         "_in_flight",
         "_servers",
         "_is_leaving",
@@ -132,7 +132,7 @@
             metrics=metrics,
             on_change=lambda: self._orders.wake(),
         )
-        self._directory = Directory(
+        self._directory = UpstreamDirectory(
             clock=clock,
             decode=records.decode_upstream,
             metrics=metrics,
@@ -143,7 +143,7 @@
             clock=clock,
             table=self._store,
             host_id=self.settings.host.id,
-            answer_ms=self._store.answer_ms,
+            latency_ms=self._store.latency_ms,
         )
         self._duties = Duties(
             leases=leases,
@@ -170,7 +170,7 @@
             process_id=f"{self.settings.host.id}/{util.new_id()}",
             zone=self.settings.host.zone,
             kept_ms=self.settings.jobs.kept_s * MS_PER_SECOND,
-            is_cut_off=lambda: not self._reach.wants_callers(),
+            is_cut_off=lambda: not self._connectivity.accepts_callers(),
         )
         self._followers = {
             records.OPERATOR_TABLE: self._follow(
@@ -179,7 +179,7 @@
             records.UPSTREAM_TABLE: self._follow(
                 records.UPSTREAM_TABLE,
                 self._directory.apply,
-                on_return=self._directory.note_return,
+                on_return=self._directory.on_feed_recovered,
                 pause_ms=LIST_PAUSE_MS,
             ),
             lease_rows.TABLE: self._follow(
@@ -205,7 +205,7 @@
 
     def _note_leases_return(self):
         """Have the duties of jobs that are run here taken back at once."""
-        self._duties.note_return()
+        self._duties.on_feed_recovered()
         self._supervisor.wake()
 
     def _make_orders(self):
@@ -217,7 +217,7 @@
             directory=self._directory,
             versions=self._versions,
             routes=self._routing.current,
-            engines=servers.EngineOrders(http=self._http),
+            engines=servers.EngineControlClient(http=self._http),
             order_log=OrderLog(
                 clock=self._clock,
                 store=self._store,
@@ -246,7 +246,7 @@
 
     def _make_reach(self):
         host = self.settings.host
-        self._reach = StoreReach(
+        self._connectivity = StoreConnectivity(
             clock=self._clock,
             http=self._http,
             store=self._store,
@@ -255,7 +255,7 @@
             heard_age_ms=self._heard_age_ms,
         )
         self._followers[store_connectivity.TABLE] = self._follow(
-            store_connectivity.TABLE, self._reach.apply
+            store_connectivity.TABLE, self._connectivity.apply
         )
 
     def _heard_age_ms(self):
@@ -308,8 +308,8 @@
         async def ready(request: Request) -> Response:
             return Response(200 if self._is_ready() else 503)
 
-        async def hears_store(request: Request) -> Response:
-            return Response(200 if self._reach.hears_straight() else 503)
+        async def reaches_store(request: Request) -> Response:
+            return Response(200 if self._connectivity.reaches_store_directly() else 503)
 
         async def pass_on(request: Request) -> Response:
             return await self._pass_on(request)
@@ -319,7 +319,7 @@
                 method, f"{store_connectivity.CALLS_PREFIX}/*", pass_on
             )
         to_balancer.application.router.add_get(caller_dialect.READY_PATH, ready)
-        to_balancer.application.router.add_get(store_connectivity.PATH, hears_store)
+        to_balancer.application.router.add_get(store_connectivity.PATH, reaches_store)
         to_monitoring = HttpServer(
             clock=self._clock,
             settings=self.settings,
@@ -338,7 +338,7 @@
         """Send another host's call to the store and give its answer."""
         query = request.scope.get("query_string", b"")
         target = request.scope["raw_path"] + (b"?" + query if query else b"")
-        answer = await self._reach.pass_on(
+        answer = await self._connectivity.relay(
             request.method,
             target.decode("latin-1").removeprefix(store_connectivity.CALLS_PREFIX),
             [pair for pair in request.headers if pair[0].lower() != b"host"],
@@ -348,7 +348,9 @@
 
     def _is_ready(self):
         has_routes = self._routing.table is not None
-        return not self._is_leaving and has_routes and self._reach.wants_callers()
+        return (
+            not self._is_leaving and has_routes and self._connectivity.accepts_callers()
+        )
 
     def _apply_operator_rows(self, changes):
         for change in changes:
@@ -375,7 +377,7 @@
             "scheduler": self._scheduler,
             "board": self._supervisor,
             "orders": self._orders,
-            "reach": self._reach,
+            "reach": self._connectivity,
         }
         for name, part in part_by_name.items():
             self._tasks.start(util.keep_running(name, part.run, self._clock), name)
@@ -419,7 +421,7 @@
         try:
             async with asyncio.timeout(CLOSE_TIMEOUT_MS / MS_PER_SECOND):
                 await self._duties.release_all()
-                await self._reach.leave()
+                await self._connectivity.leave()
         except (TimeoutError, ServiceError) as e:
             log.warning("The store could not be told that this host leaves: %s", e)
         # The balancer sends new connections until it has asked twice in vain.
--- a/goldcrestmoor/process/front_callers.py
+++ b/goldcrestmoor/process/front_callers.py
@@ -11,10 +11,10 @@
 from goldcrestmoor.clock import MS_PER_SECOND, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.job.calls import EndJob, ReadItem, ReadResults, SubmitJob
-from goldcrestmoor.request.app_routes import METHODS, whole_response
-from goldcrestmoor.request.apps import AppAnswer
+from goldcrestmoor.request.app_routes import METHODS, to_response
+from goldcrestmoor.request.apps import AppResponse
 from goldcrestmoor.request.forwarding import CallerRequest
-from goldcrestmoor.request.streaming import StreamAnswer
+from goldcrestmoor.request.streaming import StreamResponse
 from goldcrestmoor.version.configuration.routes import RouteKind
 
 log = logging.getLogger("goldcrestmoor.callers")
@@ -131,7 +131,7 @@
             self._dialect.request_id(headers),
             request.method,
             _target(request),
-            self._dialect.passed_on(headers),
+            self._dialect.forwarded_headers(headers),
             body,
         )
         if route.kind is RouteKind.STREAM:
@@ -139,10 +139,10 @@
         else:
             answer = await self._forwarder.forward(forwarded, route, deadline)
         match answer:
-            case StreamAnswer():
+            case StreamResponse():
                 return _streamed(answer)
-            case AppAnswer():
-                return whole_response(answer, request.method)
+            case AppResponse():
+                return to_response(answer, request.method)
 
     def _deadline(self, route, headers):
         stated_ms = self._dialect.deadline_ms(headers)
--- a/goldcrestmoor/process/leases.py
+++ b/goldcrestmoor/process/leases.py
@@ -39,7 +39,7 @@
     :param name: the duty.
     :param row: the :class:`~goldcrestmoor.process.lease_rows.LeaseRow` written.
     :param version: the version of the row that it replaces; 0 for none.
-    :param handed_over: whether no earlier holder can still be at work, because
+    :param was_released: whether no earlier holder can still be at work, because
         there was none or it gave the duty up itself.
     """
 
@@ -47,17 +47,17 @@
         "name",
         "row",
         "version",
-        "handed_over",
+        "was_released",
         "expires_ms",
         "lost",
         "_clock",
     )
 
-    def __init__(self, clock, name, row, version, handed_over):
+    def __init__(self, clock, name, row, version, was_released):
         self.name = name
         self.row = row
         self.version = version
-        self.handed_over = handed_over
+        self.was_released = was_released
         self.expires_ms = 0
         self.lost = False
         self._clock = clock
@@ -97,7 +97,7 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the :class:`~goldcrestmoor.adapters.table.TableClient`.
     :param host_id: this host.
-    :param answer_ms: gives how long the table service takes for an answer at present,
+    :param latency_ms: gives how long the table service takes for an answer at present,
         in milliseconds.
     """
 
@@ -105,17 +105,17 @@
         "_clock",
         "_table",
         "_host_id",
-        "_answer_ms",
+        "_latency_ms",
         "_watched_by_name",
         "_leases_by_name",
         "_tasks",
     )
 
-    def __init__(self, *, clock, table, host_id, answer_ms=lambda: 0):
+    def __init__(self, *, clock, table, host_id, latency_ms=lambda: 0):
         self._clock = clock
         self._table = table
         self._host_id = host_id
-        self._answer_ms = answer_ms
+        self._latency_ms = latency_ms
         self._watched_by_name = collections.OrderedDict()
         self._leases_by_name = {}
         self._tasks = TaskGroup()
@@ -146,9 +146,9 @@
         fencing = known.fencing + 1 if known else 1
         token = secrets.token_hex(TOKEN_BYTES)
         new = LeaseRow(self._host_id, token, fencing, duration_ms)
-        handed_over = known is None or not known.holder
+        was_released = known is None or not known.holder
         version = row.version if row else 0
-        lease = Lease(self._clock, name, new, version, handed_over)
+        lease = Lease(self._clock, name, new, version, was_released)
         if not await self._write(lease):
             return None
         self._watched_by_name.pop(name, None)
@@ -236,7 +236,7 @@
 
     def _has_lapsed(self, watched, known):
         silent_ms = self._clock.now_ms() - watched.since_ms
-        margin_ms = max(TAKE_MARGIN_MS, TAKE_MARGIN_ANSWERS * self._answer_ms())
+        margin_ms = max(TAKE_MARGIN_MS, TAKE_MARGIN_ANSWERS * self._latency_ms())
         return silent_ms >= known.duration_ms + margin_ms
 
     def _may_take(self, name, version, known):
--- a/goldcrestmoor/process/leaving_answers.py
+++ b/goldcrestmoor/process/leaving_answers.py
@@ -29,14 +29,14 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
+    :param broadcast: the :class:`~goldcrestmoor.process.broadcast.TreeBroadcast`.
     """
 
-    __slots__ = ("_clock", "_spread", "_until_ms_by_name")
+    __slots__ = ("_clock", "_broadcast", "_until_ms_by_name")
 
-    def __init__(self, *, clock, links, spread):
+    def __init__(self, *, clock, links, broadcast):
         self._clock = clock
-        self._spread = spread
+        self._broadcast = broadcast
         self._until_ms_by_name = {}
         links.register(UpstreamLeaving, self._on_leaving)
 
@@ -46,7 +46,7 @@
         :param upstream: the upstream's name.
         """
         if not self.is_leaving(upstream) and self._keep(upstream, LEAVING_MS):
-            self._spread.start(UpstreamLeaving(upstream))
+            self._broadcast.broadcast(UpstreamLeaving(upstream))
 
     def is_leaving(self, upstream):
         """Tell whether an upstream said so lately.
@@ -75,7 +75,7 @@
 
     async def _on_leaving(self, sender, message):
         self._keep(message.upstream, LEAVING_MS)
-        self._spread.pass_on(message, message.targets)
+        self._broadcast.forward(message, message.targets)
 
     def _keep(self, upstream, left_ms):
         for name in list(self._until_ms_by_name):
--- a/goldcrestmoor/process/membership.py
+++ b/goldcrestmoor/process/membership.py
@@ -5,7 +5,7 @@
 import random
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.broadcast import Spread
+from goldcrestmoor.process.broadcast import TreeBroadcast
 from goldcrestmoor.process.listed_hosts import MAX_LEAVING_UPSTREAMS, ListedHosts
 from goldcrestmoor.process.member_table import MemberTable
 from goldcrestmoor.process.membership_messages import (
@@ -71,7 +71,7 @@
         "_live",
         "_live_ids",
         "_list_rank",
-        "_spread",
+        "_broadcast",
         "_probes",
         "_synced_ms",
         "_tasks",
@@ -113,7 +113,7 @@
         self._live = [own]
         self._live_ids = None
         self._list_rank = 0
-        self._spread = Spread(links=links, membership=self, host_id=own.id)
+        self._broadcast = TreeBroadcast(links=links, membership=self, host_id=own.id)
         self._probes = 0
         self._synced_ms = None
         self._tasks = TaskGroup()
@@ -346,12 +346,12 @@
 
     async def _on_list_read(self, sender, message):
         self.listed.take_reading(message.leaving_upstreams)
-        self._spread.pass_on(message, message.targets)
+        self._broadcast.forward(message, message.targets)
 
     def _spread_reading(self, leaving):
         # Hosts that are told nothing read the list themselves.
         if len(leaving) <= MAX_LISTED_LEAVING:
-            self._spread.start(ListRead(leaving), self.table.own.zone)
+            self._broadcast.broadcast(ListRead(leaving), self.table.own.zone)
 
     def _merge(self, *records):
         for record in records:
--- a/goldcrestmoor/process/ownership.py
+++ b/goldcrestmoor/process/ownership.py
@@ -37,7 +37,7 @@
         """
         return self._holder(f"step/{account.name}/{step}", account.zone)
 
-    def preferred(self, duty, count):
+    def preferred_hosts(self, duty, count):
         """Return the hosts of the fleet that a duty prefers, best first.
 
         :param duty: the duty's name.
--- a/goldcrestmoor/process/readiness.py
+++ b/goldcrestmoor/process/readiness.py
@@ -14,54 +14,54 @@
 DOUBTS_TO_LEAVE = 2
 
 
-class PeerView(msgspec.Struct, frozen=True):
+class PeerStatus(msgspec.Struct, frozen=True):
     """What another host has answered.
 
     :param zone: its availability zone.
-    :param hears_store: whether it hears the store by itself.
+    :param reaches_store: whether it hears the store by itself.
     :param address: its IP address.
     :param port: the TCP port that it answered at.
     """
 
     zone: str
-    hears_store: bool
+    reaches_store: bool
     address: str = ""
     port: int = 0
 
 
-class Readiness:
+class ReadinessMonitor:
     """Judge after each check whether new callers are better off here than elsewhere.
 
     :param own_zone: this host's availability zone.
-    :ivar wants_callers: the last judgement.
+    :ivar accepts_callers: the last judgement.
     """
 
-    __slots__ = ("wants_callers", "_own_zone", "_doubts")
+    __slots__ = ("accepts_callers", "_own_zone", "_doubts")
 
     def __init__(self, own_zone):
-        self.wants_callers = True
+        self.accepts_callers = True
         self._own_zone = own_zone
         self._doubts = 0
 
-    def judge(self, hears_store, views, has_other_zones):
+    def update(self, reaches_store, views, has_other_zones):
         """Take in one check; only doubts in a row turn callers away.
 
-        :param hears_store: whether this host hears the store.
-        :param views: the :class:`PeerView` of each host that answered.
+        :param reaches_store: whether this host hears the store.
+        :param views: the :class:`PeerStatus` of each host that answered.
         :param has_other_zones: whether hosts in other zones are known.
         :return: whether new callers are wanted.
         """
-        if self._is_in_doubt(hears_store, views, has_other_zones):
+        if self._is_in_doubt(reaches_store, views, has_other_zones):
             self._doubts += 1
         else:
             self._doubts = 0
-        self.wants_callers = self._doubts < DOUBTS_TO_LEAVE
-        return self.wants_callers
+        self.accepts_callers = self._doubts < DOUBTS_TO_LEAVE
+        return self.accepts_callers
 
-    def _is_in_doubt(self, hears_store, views, has_other_zones):
-        if hears_store:
+    def _is_in_doubt(self, reaches_store, views, has_other_zones):
+        if reaches_store:
             return False
-        if any(view.hears_store for view in views):
+        if any(view.reaches_store for view in views):
             return True
         hears_others = any(view.zone != self._own_zone for view in views)
         return has_other_zones and not hears_others
--- a/goldcrestmoor/process/relay_choice.py
+++ b/goldcrestmoor/process/relay_choice.py
@@ -10,17 +10,17 @@
 REFUSED_LATELY_MS = 1500
 
 
-def choose_detour(own_zone, views, refused_age_ms):
+def choose_relay(own_zone, views, rejection_age_ms):
     """Return the view of the host to send calls to, or None.
 
     :param own_zone: this host's availability zone; bytes within it cost least.
-    :param views: the :class:`~goldcrestmoor.process.readiness.PeerView` of each host
+    :param views: the :class:`~goldcrestmoor.process.readiness.PeerStatus` of each host
         that answered.
-    :param refused_age_ms: the time since the store last refused a call of this host,
+    :param rejection_age_ms: the time since the store last refused a call of this host,
         or None.
     """
-    if refused_age_ms is not None and refused_age_ms < REFUSED_LATELY_MS:
+    if rejection_age_ms is not None and rejection_age_ms < REFUSED_LATELY_MS:
         return None
-    hearing = [view for view in views if view.hears_store]
+    hearing = [view for view in views if view.reaches_store]
     hearing.sort(key=lambda view: view.zone != own_zone)
     return hearing[0] if hearing else None
--- a/goldcrestmoor/process/store_connectivity.py
+++ b/goldcrestmoor/process/store_connectivity.py
@@ -8,8 +8,8 @@
 
 from goldcrestmoor.adapters.table import Write
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.readiness import PeerView, Readiness
-from goldcrestmoor.process.relay_choice import choose_detour
+from goldcrestmoor.process.readiness import PeerStatus, ReadinessMonitor
+from goldcrestmoor.process.relay_choice import choose_relay
 
 log = logging.getLogger("goldcrestmoor.reach")
 
@@ -57,7 +57,7 @@
 _decoder = msgspec.json.Decoder(HostRow)
 
 
-class StoreReach:
+class StoreConnectivity:
     """Follow the rows of hosts, and ask some of them when the store is not heard.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -92,7 +92,7 @@
         self._straight_ms = self._turned_ms = clock.now_ms()
         self._passed_on = 0
         self._row_by_host = {}
-        self._readiness = Readiness(row.zone)
+        self._readiness = ReadinessMonitor(row.zone)
 
     def apply(self, changes):
         """Take in what the feed of hosts says.
@@ -108,31 +108,31 @@
             except msgspec.MsgspecError as e:
                 log.warning("The row of host %s is passed over: %s.", change.key, e)
 
-    def hears_store(self):
+    def reaches_store(self):
         """Tell whether the store has answered this host lately."""
         age_ms = self._heard_age_ms()
         return age_ms is not None and age_ms < UNHEARD_MS
 
-    def hears_straight(self):
+    def reaches_store_directly(self):
         """Tell whether the store has answered this host lately, by itself."""
-        return self.hears_store() and not self._store.is_going_round
+        return self.reaches_store() and not self._store.is_relayed
 
-    def wants_callers(self):
+    def accepts_callers(self):
         """Tell whether new callers are better off here than elsewhere."""
-        return self._readiness.wants_callers
+        return self._readiness.accepts_callers
 
     async def run(self):
         """Register this host, and watch the store for good."""
         await self._register()
         while True:
             await self._try_straight()
-            hears = self.hears_store()
+            hears = self.reaches_store()
             views = [] if hears else await self._ask()
             if not hears:
                 self._go_round(views)
-            wanted = self._readiness.wants_callers
-            wants = self._readiness.judge(
-                hears or self.hears_store(), views, self._has_others()
+            wanted = self._readiness.accepts_callers
+            wants = self._readiness.update(
+                hears or self.reaches_store(), views, self._has_others()
             )
             if wants != wanted:
                 log.info(
@@ -141,33 +141,33 @@
                     "wanted again" if wants else "better off elsewhere",
                     self._heard_age_ms(),
                     len(views),
-                    sum(view.hears_store for view in views),
+                    sum(view.reaches_store for view in views),
                 )
             await self._clock.sleep_ms(CHECK_MS)
 
     def _go_round(self, views):
         """Have another host pass calls on, if there is one that can."""
         now_ms = self._clock.now_ms()
-        if self._store.is_going_round and now_ms - self._turned_ms < TURN_MS:
+        if self._store.is_relayed and now_ms - self._turned_ms < TURN_MS:
             return
-        age_ms = self._store.refused_age_ms()
-        view = choose_detour(self._row.zone, views, age_ms)
+        age_ms = self._store.rejection_age_ms()
+        view = choose_relay(self._row.zone, views, age_ms)
         if view is None:
             return
         log.info("Calls to the store go round by the host at %s.", view.address)
-        self._store.go_round(view.address, view.port, CALLS_PREFIX)
+        self._store.use_relay(view.address, view.port, CALLS_PREFIX)
         self._turned_ms = self._straight_ms = now_ms
 
     async def _try_straight(self):
         now_ms = self._clock.now_ms()
-        if not self._store.is_going_round or now_ms - self._straight_ms < STRAIGHT_MS:
+        if not self._store.is_relayed or now_ms - self._straight_ms < STRAIGHT_MS:
             return
         self._straight_ms = now_ms
-        await self._store.try_straight()
-        if not self._store.is_going_round:
+        await self._store.probe_direct()
+        if not self._store.is_relayed:
             log.info("Calls to the store go straight again.")
 
-    async def pass_on(self, method, target, headers, body):
+    async def relay(self, method, target, headers, body):
         """Send another host's call to the store.
 
         :param method: the HTTP method.
@@ -178,12 +178,12 @@
         :raises ServiceError: ``OVERLOADED`` when it was surely not sent; those of the
             ``HttpClient``.
         """
-        if self._passed_on >= MAX_PASSED_ON or self._store.is_going_round:
+        if self._passed_on >= MAX_PASSED_ON or self._store.is_relayed:
             text = "This host passes no more calls on."
             raise ServiceError(ErrorKind.OVERLOADED, text)
         self._passed_on += 1
         try:
-            return await self._store.pass_on(
+            return await self._store.relay(
                 method, target, headers, body, PASS_ON_TIMEOUT_MS
             )
         finally:
@@ -229,4 +229,4 @@
             log.debug("Host at %s does not answer: %s", row.address, e)
             return None
         hears = answer.status == STATUS_OK
-        return PeerView(row.zone, hears, row.address, row.port)
+        return PeerStatus(row.zone, hears, row.address, row.port)
--- a/goldcrestmoor/request/admission.py
+++ b/goldcrestmoor/request/admission.py
@@ -55,7 +55,7 @@
     :param ownership: the ``Ownership``.
     :param membership: the ``Membership``, or None.
     :param owner: this host's :class:`~.admission_owner.AdmissionOwner`.
-    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     """
 
     __slots__ = (
@@ -129,7 +129,7 @@
                 if e.kind != ErrorKind.PEER_UNREACHABLE:
                     raise
                 text = f"The owner {owner} of {upstream.name} does not answer."
-                self._decisions.note("admission", request_id, text)
+                self._decisions.record("admission", request_id, text)
                 continue
             self._grants_by_id[grant.id] = grant
             return grant
@@ -241,7 +241,7 @@
     def _note_granted(self, grant, answer, request_id):
         name, waited_ms = grant.upstream.name, answer.queued_ms
         text = f"{grant.owner} granted {name} after {waited_ms} ms."
-        self._decisions.note("admission", request_id, text)
+        self._decisions.record("admission", request_id, text)
 
     async def _call(self, owner, message):
         if owner == self._host_id:
@@ -262,7 +262,7 @@
             raise ServiceError(ErrorKind.OVERLOADED, text)
         self._unowned_by_upstream[upstream.name] = used + 1
         text = f"Admitted to {upstream.name} here, since no owner can be asked."
-        self._decisions.note("admission", request_id, text)
+        self._decisions.record("admission", request_id, text)
         return Grant(util.new_id(), upstream, account.name, cost_tokens, SELF_ADMITTED)
 
 
--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -37,10 +37,10 @@
     :param membership: the ``Membership``, or None.
     :param is_leaving: tells whether the host list names an upstream as leaving.
     :param order: the queues' order, of :mod:`goldcrestmoor.request.fair_queue`.
-    :param refuses_early: whether a request that can't be served in time is refused
+    :param rejects_early: whether a request that can't be served in time is refused
         when it comes.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         "_membership",
         "_is_leaving",
         "_order",
-        "_refuses_early",
+        "_rejects_early",
         "_metrics",
         "_decisions",
         "_slots_by_upstream",
@@ -68,7 +68,7 @@
         membership=None,
         is_leaving=None,
         order=WEIGHTED_FAIR,
-        refuses_early=True,
+        rejects_early=True,
     ):
         self._clock = clock
         self._lease = lease
@@ -76,7 +76,7 @@
         self._membership = membership
         self._is_leaving = is_leaving or (lambda name: False)
         self._order = order
-        self._refuses_early = refuses_early
+        self._rejects_early = rejects_early
         self._metrics = metrics
         self._decisions = decisions
         self._slots_by_upstream = {}
@@ -148,7 +148,7 @@
             answer = await slots.hold(waiter)
             if isinstance(answer, Granted):
                 text = f"Granted {name} to {sender} after {answer.queued_ms} ms."
-                self._decisions.note("admission", message.request_id, text)
+                self._decisions.record("admission", message.request_id, text)
             return answer
 
     async def on_release(self, sender, message):
@@ -229,7 +229,7 @@
                 max_length=self._settings.max_queue_per_upstream,
                 floor_percent=self._settings.application_floor_percent,
                 order=self._order,
-                refuses_early=self._refuses_early,
+                rejects_early=self._rejects_early,
             )
             self._slots_by_upstream[name] = Slots(clock=self._clock, queue=queue)
         return self._slots_by_upstream[name]
--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -5,7 +5,7 @@
 
 from goldcrestmoor import logs
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.apps import AppRequest, passed_on
+from goldcrestmoor.request.apps import AppRequest, forwarded_headers
 from goldcrestmoor.request.authentication import check_pool, check_served
 from goldcrestmoor.request.request_parsing import read_deadline
 from goldcrestmoor.version.configuration.document import UpstreamKind
@@ -38,8 +38,8 @@
     :param app: the blacksheep application.
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param authenticator: the ``Authenticator``.
-    :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
-    :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.Keys`.
+    :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
+    :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.IdempotencyKeys`.
     :param lease: gives the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
@@ -76,7 +76,7 @@
             metrics.requests.labels(account.name, e.code).inc()
             raise
         metrics.requests.labels(account.name, "answered").inc()
-        return whole_response(answer, asked.method)
+        return to_response(answer, asked.method)
 
     async def mint(request: Request) -> Response:
         account = authenticator.account(request.headers)
@@ -101,15 +101,15 @@
         pool.decode("latin-1"),
         request.method,
         target.decode("latin-1"),
-        passed_on(request.headers),
+        forwarded_headers(request.headers),
         await request.read() or b"",
     )
 
 
-def whole_response(answer, method):
+def to_response(answer, method):
     """Return the answer to a caller that an upstream's whole answer gives.
 
-    :param answer: an :class:`~goldcrestmoor.request.apps.AppAnswer`.
+    :param answer: an :class:`~goldcrestmoor.request.apps.AppResponse`.
     :param method: the request's method.
     """
     content_type = None
--- a/goldcrestmoor/request/apps.py
+++ b/goldcrestmoor/request/apps.py
@@ -51,7 +51,7 @@
         return self.method in IDEMPOTENT_METHODS
 
 
-class AppAnswer(msgspec.Struct, frozen=True):
+class AppResponse(msgspec.Struct, frozen=True):
     """A whole answer.
 
     :param status: the HTTP status.
@@ -64,7 +64,7 @@
     body: bytes
 
 
-def passed_on(headers):
+def forwarded_headers(headers):
     """Return the headers that are passed on to the other side.
 
     :param headers: ``(name, value)`` byte pairs.
@@ -73,7 +73,7 @@
     return tuple(pair for pair in pairs if pair[0] not in PRIVATE_HEADERS)
 
 
-class Applications:
+class ApplicationClient:
     """Send requests to application upstreams, straight from this host.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
@@ -81,7 +81,7 @@
     :param placement: a :class:`~goldcrestmoor.request.placement.Placement`.
     :param budget: the ``RetryBudget``, here by pool.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     :param health: an ``UpstreamHealth``, or None.
     :param head_timeout_ms: how long an upstream may take to begin its answer, in
         milliseconds; only the request's deadline bounds it when left out.
@@ -134,10 +134,10 @@
         :param deadline: when the answer must be there.
         :param request_id: the request.
         :param check: called just before each send; raises to prevent it.
-        :return: an :class:`AppAnswer`.
+        :return: an :class:`AppResponse`.
         :raises ServiceError: the failure that says most about whether it ran.
         """
-        self._budget.note_request(request.pool)
+        self._budget.record_request(request.pool)
         failures = []
         avoid = set()
         while True:
@@ -160,13 +160,13 @@
                     raise most_telling(failures) from None
                 self._metrics.retries.labels(e.code).inc()
                 text = f"Left {upstream.name} for another: {e.message}"
-                self._decisions.note("apps", request_id, text)
+                self._decisions.record("apps", request_id, text)
 
     async def _send(self, upstream, request, deadline, request_id, check, fresh):
         if deadline.passed():
             raise ServiceError(ErrorKind.QUEUE_TIMEOUT, "No time was left to send it.")
         text = f"Sent to {upstream.name} of {upstream.zone}."
-        self._decisions.note("apps", request_id, text)
+        self._decisions.record("apps", request_id, text)
         started_ms = self._clock.now_ms()
         self._placement.begin(upstream)
         try:
@@ -188,10 +188,10 @@
             self._record(upstream, True, started_ms)
             if says_leaving(response.headers):
                 self._on_leaving(upstream.name)
-            headers = passed_on(response.headers)
+            headers = forwarded_headers(response.headers)
             if request.method == "HEAD":
                 headers += _content_length(response.headers)
-            return AppAnswer(response.status, headers, response.body)
+            return AppResponse(response.status, headers, response.body)
         except ServiceError as e:
             if e.kind.value.startswith("upstream_"):
                 self._record(upstream, False, started_ms)
--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.adapters.table import Check, CheckFailed, Write
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
-from goldcrestmoor.request.apps import AppAnswer
+from goldcrestmoor.request.apps import AppResponse
 from goldcrestmoor.request.key_messages import (
     AskOutcome,
     KeyedAnswer,
@@ -51,18 +51,18 @@
     digest: str
     claimed_wall_ms: int
     state: str = RUNNING
-    answer: AppAnswer | None = None
+    answer: AppResponse | None = None
 
 
-class Claims:
+class ClaimedKeys:
     """Send under keys that callers chose.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: this host.
     :param incarnation: this run of it.
     :param table: the ``TableClient``.
-    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.KeyMemory`.
-    :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
+    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.OutcomeCache`.
+    :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
     :param links: the ``PeerLinks``.
     :param settings: the :class:`~goldcrestmoor.settings.IdempotencySettings`.
     """
@@ -113,7 +113,7 @@
         :param deadline: when the answer must be there.
         :param request_id: the request.
         :param check: called just before each send; raises to prevent it.
-        :return: an :class:`~goldcrestmoor.request.apps.AppAnswer`.
+        :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when no claim could be
             written, ``KEY_REUSED``, ``IN_PROGRESS`` or ``OUTCOME_UNKNOWN``.
         """
--- a/goldcrestmoor/request/completion_format.py
+++ b/goldcrestmoor/request/completion_format.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from goldcrestmoor import errors
-from goldcrestmoor.request.token_chunk import Segment, join
+from goldcrestmoor.request.token_chunk import Segment, merge_by_version
 
 DONE_EVENT = b"data: [DONE]\n\n"
 
@@ -39,7 +39,7 @@
     completion_tokens: int
 
 
-class CompletionAnswer(msgspec.Struct):
+class CompletionResponse(msgspec.Struct):
     """A whole answer, with the weight versions that made it."""
 
     id: str
@@ -65,40 +65,40 @@
     error: errors.ErrorBody
 
 
-def whole_answer(request_id, model, pieces):
+def whole_answer(request_id, model, chunks):
     """Return the whole answer that pieces make up, as JSON bytes.
 
     :param request_id: the request.
     :param model: the pool's name.
-    :param pieces: all of its pieces.
+    :param chunks: all of its pieces.
     """
-    text = "".join(piece.text for piece in pieces)
-    reason = pieces[-1].finish_reason if pieces else ""
-    answer = CompletionAnswer(
+    text = "".join(chunk.text for chunk in chunks)
+    reason = chunks[-1].finish_reason if chunks else ""
+    answer = CompletionResponse(
         request_id,
         "text_completion",
         model,
         [Choice(0, text, reason or None)],
-        Usage(sum(piece.tokens for piece in pieces)),
-        list(join(pieces)),
+        Usage(sum(chunk.tokens for chunk in chunks)),
+        list(merge_by_version(chunks)),
     )
     return msgspec.json.encode(answer)
 
 
-def event(request_id, model, piece):
+def event(request_id, model, chunk):
     """Return the event that carries one piece, as bytes.
 
     :param request_id: the request.
     :param model: the pool's name.
-    :param piece: the :class:`~goldcrestmoor.request.token_chunk.Piece`.
+    :param chunk: the :class:`~goldcrestmoor.request.token_chunk.TokenChunk`.
     """
     value = CompletionEvent(
         request_id,
         "text_completion",
         model,
-        [Choice(0, piece.text, piece.finish_reason or None)],
-        piece.version,
-        piece.tokens,
+        [Choice(0, chunk.text, chunk.finish_reason or None)],
+        chunk.version,
+        chunk.tokens,
     )
     return b"data: " + msgspec.json.encode(value) + b"\n\n"
 
--- a/goldcrestmoor/request/completion_routes.py
+++ b/goldcrestmoor/request/completion_routes.py
@@ -39,13 +39,13 @@
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     """
 
-    async def counted(pieces, account):
+    async def counted(chunks, account):
         """Pass pieces on, and count how the completion ended."""
         outcome = "given_up"
         try:
-            async with contextlib.aclosing(pieces):
-                async for piece in pieces:
-                    yield piece
+            async with contextlib.aclosing(chunks):
+                async for chunk in chunks:
+                    yield chunk
             outcome = "answered"
         except ServiceError as e:
             outcome = e.code
@@ -63,7 +63,7 @@
         configuration = lease.view().configuration
         check_pool(account, configuration, asked.model, UpstreamKind.ENGINE)
         request_id = logs.request_id.get()
-        pieces = completions.generate(
+        chunks = completions.generate(
             account=account,
             pool=asked.model,
             prompt=asked.prompt,
@@ -73,28 +73,28 @@
             request_id=request_id,
             prefix_key=asked.prompt[:MAX_PREFIX_CHARACTERS],
         )
-        pieces = counted(pieces, account)
+        chunks = counted(chunks, account)
         if asked.stream:
-            return await _streamed(pieces, request_id, asked.model)
-        async with contextlib.aclosing(pieces):
-            made = [piece async for piece in pieces]
+            return await _streamed(chunks, request_id, asked.model)
+        async with contextlib.aclosing(chunks):
+            made = [chunk async for chunk in chunks]
         body = whole_answer(request_id, asked.model, made)
         return Response(200, None, Content(b"application/json", body))
 
     app.router.add_post("/v1/completions", complete)
 
 
-async def _streamed(pieces, request_id, model):
+async def _streamed(chunks, request_id, model):
     # An error before the first piece still gets a status of its own.
-    first = await anext(pieces, None)
+    first = await anext(chunks, None)
 
     async def events():
-        async with contextlib.aclosing(pieces):
+        async with contextlib.aclosing(chunks):
             try:
                 if first is not None:
                     yield event(request_id, model, first)
-                async for piece in pieces:
-                    yield event(request_id, model, piece)
+                async for chunk in chunks:
+                    yield event(request_id, model, chunk)
                 yield DONE_EVENT
             except ServiceError as e:
                 yield error_event(e, request_id)
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -7,7 +7,7 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.authentication import check_served
 from goldcrestmoor.request.failures import most_telling
-from goldcrestmoor.request.token_chunk import Piece
+from goldcrestmoor.request.token_chunk import TokenChunk
 
 log = logging.getLogger("goldcrestmoor.completions")
 
@@ -47,12 +47,12 @@
         self.failures = []
         self.refusals = 0
 
-    def add(self, piece):
-        self.text += piece.text
-        self.tokens_left -= piece.tokens
-        self.version = piece.version
-        self.upstream = piece.upstream
-        self.finished = bool(piece.finish_reason)
+    def add(self, chunk):
+        self.text += chunk.text
+        self.tokens_left -= chunk.tokens
+        self.version = chunk.version
+        self.upstream = chunk.upstream
+        self.finished = bool(chunk.finish_reason)
 
 
 class Completions:
@@ -67,7 +67,7 @@
     :param budget: the ``RetryBudget``, here by pool.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param decisions: the :class:`~goldcrestmoor.process.decision_log.Decisions`.
+    :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     :param health: an ``UpstreamHealth``, or None.
     :param resumes: whether a failed stream goes on elsewhere from its tokens; else
         it fails.
@@ -147,13 +147,13 @@
         :raises ServiceError: ``VERSION_CONFLICT`` when the engines' tokens are older
             than ``min_version``; else what admission or the last engine gave.
         """
-        self._budget.note_request(pool)
+        self._budget.record_request(pool)
         progress = _Progress(resume_text, max_tokens, avoid)
         while not progress.finished:
             if progress.tokens_left <= 0:
                 # The engine failed between the last token and its end mark.
                 version, upstream = progress.version, progress.upstream
-                yield Piece("", 0, version, upstream, FINISH_LENGTH)
+                yield TokenChunk("", 0, version, upstream, FINISH_LENGTH)
                 return
             upstream = self._choose(pool, prefix_key, progress)
             cost = len(prompt + progress.text) // CHARACTERS_PER_TOKEN
@@ -178,12 +178,12 @@
             stream = self._read(grant, account, pool, prompt, seed, deadline, progress)
             try:
                 async with contextlib.aclosing(stream):
-                    async for piece in stream:
-                        if piece.version < min_version:
-                            text = f"{piece.upstream} runs version {piece.version}."
+                    async for chunk in stream:
+                        if chunk.version < min_version:
+                            text = f"{chunk.upstream} runs version {chunk.version}."
                             raise ServiceError(ErrorKind.VERSION_CONFLICT, text)
-                        progress.add(piece)
-                        yield piece
+                        progress.add(chunk)
+                        yield chunk
                 progress.finished = True
             except ServiceError as e:
                 self._move(e, pool, upstream, progress, deadline, request_id)
@@ -210,7 +210,7 @@
         progress.failures.append(error)
         progress.avoid.add(upstream.name)
         text = f"Passed over {upstream.name}: {error.message}"
-        self._decisions.note("completions", request_id, text)
+        self._decisions.record("completions", request_id, text)
 
     def _move(self, error, pool, upstream, progress, deadline, request_id):
         """Go on with another engine after a failure, or raise it."""
@@ -231,7 +231,7 @@
         self._metrics.retries.labels(error.code).inc()
         progress.avoid.add(upstream.name)
         text = f"Moved on from {upstream.name} with {len(progress.text)} characters"
-        self._decisions.note("completions", request_id, f"{text}: {error.message}")
+        self._decisions.record("completions", request_id, f"{text}: {error.message}")
 
     async def _read(self, grant, account, pool, prompt, seed, deadline, progress):
         """Yield the pieces of one engine's stream, under a granted slot."""
@@ -252,7 +252,7 @@
             request_id=stream_id,
             timeout_ms=max(1, deadline.remaining_ms()),
             resume_text=progress.text,
-            silence_ms=self._settings.progress_timeout_ms,
+            idle_timeout_ms=self._settings.progress_timeout_ms,
         )
         try:
             if not self._placement.takes_work(upstream.name):
@@ -261,11 +261,11 @@
             check_served(self._lease.view(), account, pool)
             in_flight = True
             async with contextlib.aclosing(stream):
-                async for piece in stream:
+                async for chunk in stream:
                     if first_ms is None:
                         first_ms = self._clock.now_ms() - started_ms
-                    used += piece.tokens
-                    yield piece
+                    used += chunk.tokens
+                    yield chunk
             in_flight = False
             self._record(upstream, True, first_ms)
         except ServiceError as e:
--- a/goldcrestmoor/request/event_stream.py
+++ b/goldcrestmoor/request/event_stream.py
@@ -32,7 +32,7 @@
     raw: bytes
 
 
-class EventReader:
+class EventParser:
     """Turn chunks of bytes into events; an event that is cut off never counts.
 
     :param fields: the :class:`EventFields`.
@@ -45,7 +45,7 @@
         self._buffer = b""
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Whether an event has begun and not ended."""
         return bool(self._buffer.strip())
 
--- a/goldcrestmoor/request/fair_queue.py
+++ b/goldcrestmoor/request/fair_queue.py
@@ -42,7 +42,7 @@
     :param max_length: the most requests that wait.
     :param floor_percent: the application accounts' least part.
     :param order: one of the orders of this module.
-    :param refuses_early: whether a request is refused when it would wait longer than
+    :param rejects_early: whether a request is refused when it would wait longer than
         its deadline or when the queue is full.
     """
 
@@ -51,7 +51,7 @@
         "_max_length",
         "_floor_percent",
         "_order",
-        "_refuses_early",
+        "_rejects_early",
         "_queues_by_account",
         "_virtual_by_account",
         "_pending_by_account",
@@ -69,13 +69,13 @@
         max_length,
         floor_percent,
         order=WEIGHTED_FAIR,
-        refuses_early=True,
+        rejects_early=True,
     ):
         self._clock = clock
         self._max_length = max_length
         self._floor_percent = floor_percent
         self._order = order
-        self._refuses_early = refuses_early
+        self._rejects_early = rejects_early
         self._queues_by_account = {}
         self._virtual_by_account = collections.OrderedDict()
         self._pending_by_account = {}
@@ -101,7 +101,7 @@
         :raises ServiceError: ``OVERLOADED`` when the queue is full or too slow for
             the entry's deadline, with when to come back.
         """
-        if self._refuses_early:
+        if self._rejects_early:
             self._check_room(entry)
         if entry.account not in self._queues_by_account:
             self._join(entry.account)
@@ -168,7 +168,7 @@
         :param account: the account's name.
         :param remaining_ms: the time until it must have ended, in milliseconds.
         """
-        if not self._refuses_early:
+        if not self._rejects_early:
             return remaining_ms
         service_ms = round(self._service_ms_by_account.get(account, 0))
         return max(LEAST_WAIT_MS, remaining_ms - service_ms)
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -7,7 +7,7 @@
 from goldcrestmoor import tracing
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 from goldcrestmoor.request import retry_decision
-from goldcrestmoor.request.apps import AppAnswer
+from goldcrestmoor.request.apps import AppResponse
 from goldcrestmoor.request.retry_decision import GiveUp, SendAgain
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 
@@ -96,7 +96,7 @@
 
     def bound_ms(self):
         """Return how long the current try may wait, in milliseconds."""
-        return retry_decision.try_bound_ms(
+        return retry_decision.attempt_timeout_ms(
             self.route.retry_policy,
             self._runs,
             self.route.attempts,
@@ -114,7 +114,7 @@
         if end.ran is not Ran.NOT_RUN:
             self._ran = Ran.UNKNOWN
             self._runs += 1
-        decision = retry_decision.after_try(
+        decision = retry_decision.decide_retry(
             self._ran,
             self.route.retry_policy,
             self._runs,
@@ -207,7 +207,7 @@
         :param request: the :class:`CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
         :param deadline: when the answer must be there.
-        :return: an :class:`~goldcrestmoor.request.apps.AppAnswer`.
+        :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when it surely was
             not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may have.
         """
@@ -216,7 +216,7 @@
             upstream = tries.next_upstream()
             outcome = await self._try(upstream, tries)
             match outcome:
-                case AppAnswer():
+                case AppResponse():
                     tries.note_answer(outcome.status)
                     return outcome
                 case TryEnd():
@@ -262,4 +262,4 @@
             and tries.route.retry_policy is RetryPolicy.IDEMPOTENT
         ):
             return TryEnd(Ran.RAN, "The server failed")
-        return AppAnswer(status, tuple(headers), response.body)
+        return AppResponse(status, tuple(headers), response.body)
--- a/goldcrestmoor/request/idempotency_keys.py
+++ b/goldcrestmoor/request/idempotency_keys.py
@@ -3,12 +3,12 @@
 from goldcrestmoor.request.key_mint import is_minted
 
 
-class Keys:
+class IdempotencyKeys:
     """Send requests under keys of either kind.
 
     :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
-    :param bound: the :class:`~goldcrestmoor.request.minted_keys.BoundKeys`.
-    :param claims: the :class:`~goldcrestmoor.request.claims.Claims`.
+    :param bound: the :class:`~goldcrestmoor.request.minted_keys.MintedKeys`.
+    :param claims: the :class:`~goldcrestmoor.request.claims.ClaimedKeys`.
     """
 
     __slots__ = ("_mint", "_bound", "_claims")
@@ -34,7 +34,7 @@
         :param deadline: when the answer must be there.
         :param request_id: the request.
         :param check: called just before each send; raises to prevent it.
-        :return: an :class:`~goldcrestmoor.request.apps.AppAnswer`.
+        :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         """
         run = self._bound.run if is_minted(key) else self._claims.run
         return await run(account, key, request, deadline, request_id, check)
--- a/goldcrestmoor/request/key_messages.py
+++ b/goldcrestmoor/request/key_messages.py
@@ -1,7 +1,7 @@
 """What hosts say to each other about idempotency keys."""
 
 from goldcrestmoor import wire
-from goldcrestmoor.request.apps import AppAnswer, AppRequest
+from goldcrestmoor.request.apps import AppRequest, AppResponse
 
 TRAVEL_MS = 500
 
@@ -49,4 +49,4 @@
 class KeyedAnswer(wire.Message, frozen=True):
     """The recorded answer of a request with a key."""
 
-    answer: AppAnswer
+    answer: AppResponse
--- a/goldcrestmoor/request/minted_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -21,13 +21,13 @@
 MAX_ASKS = 2
 
 
-class BoundKeys:
+class MintedKeys:
     """Send under minted keys, here or through the host that minted them.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
-    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.KeyMemory`.
-    :param applications: the :class:`~goldcrestmoor.request.apps.Applications`.
+    :param memory: the :class:`~goldcrestmoor.request.outcome_cache.OutcomeCache`.
+    :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``.
     :param lease: gives the
@@ -77,7 +77,7 @@
         :param deadline: when the answer must be there.
         :param request_id: the request.
         :param check: called just before each send; raises to prevent it.
-        :return: an :class:`~goldcrestmoor.request.apps.AppAnswer`.
+        :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         :raises ServiceError: ``OUTCOME_UNKNOWN`` when the host that minted the key
             cannot be asked, ``KEY_EXPIRED``, ``KEY_REUSED`` or ``IN_PROGRESS``.
         """
--- a/goldcrestmoor/request/outcome_cache.py
+++ b/goldcrestmoor/request/outcome_cache.py
@@ -68,7 +68,7 @@
         return self.answer
 
 
-class KeyMemory:
+class OutcomeCache:
     """Outcomes by key, in bounded memory.
 
     An outcome that could still be asked for is never dropped to make room: a key
@@ -129,7 +129,7 @@
         :param key: the key, with its account.
         :param digest: the request's digest.
         :param expires_ms: how long to remember it, on the clock's scale.
-        :param send: ``async () -> AppAnswer``.
+        :param send: ``async () -> AppResponse``.
         :return: the :class:`Outcome`.
         :raises ServiceError: ``OVERLOADED`` when too many are remembered.
         """
--- a/goldcrestmoor/request/placement.py
+++ b/goldcrestmoor/request/placement.py
@@ -49,7 +49,7 @@
     :param policy: one of the policies of this module.
     :param health: an ``UpstreamHealth``, or None.
     :param is_leaving: tells whether the host list names an upstream as leaving.
-    :param zone_answers: tells whether a zone has hosts that answer this one.
+    :param is_zone_live: tells whether a zone has hosts that answer this one.
     """
 
     __slots__ = (
@@ -59,19 +59,19 @@
         "_policy",
         "_health",
         "_is_leaving",
-        "_zone_answers",
+        "_is_zone_live",
         "_turn",
     )
 
     def __init__(
-        self, *, zone, lease, policy, health=None, is_leaving=None, zone_answers=None
+        self, *, zone, lease, policy, health=None, is_leaving=None, is_zone_live=None
     ):
         self._zone = zone
         self._lease = lease
         self._policy = policy
         self._health = health
         self._is_leaving = is_leaving or (lambda name: False)
-        self._zone_answers = zone_answers or (lambda zone: True)
+        self._is_zone_live = is_zone_live or (lambda zone: True)
         self._turn = itertools.count()
         self.in_flight_by_upstream = collections.Counter()
 
@@ -161,7 +161,7 @@
         return None
 
     def _is_near(self, upstream):
-        return upstream.zone == self._zone or self._zone_answers(upstream.zone)
+        return upstream.zone == self._zone or self._is_zone_live(upstream.zone)
 
     def _own_zone_with_room(self, usable):
         own = [u for u in usable if u.zone == self._zone and self._load(u) < 1]
--- a/goldcrestmoor/request/retry_decision.py
+++ b/goldcrestmoor/request/retry_decision.py
@@ -37,7 +37,7 @@
     retry_after_ms: int
 
 
-def after_try(ran, retry_policy, tries, attempts, remaining_ms, has_other):
+def decide_retry(ran, retry_policy, tries, attempts, remaining_ms, has_other):
     """Decide what follows a try that gave no answer to pass on.
 
     :param ran: the :class:`~goldcrestmoor.errors.Ran` of all tries so far: whether
@@ -59,7 +59,9 @@
     return GiveUp(ErrorKind.UPSTREAM_FAILED, 0)
 
 
-def try_bound_ms(retry_policy, tries, attempts, remaining_ms, target_ms, has_other):
+def attempt_timeout_ms(
+    retry_policy, tries, attempts, remaining_ms, target_ms, has_other
+):
     """Return how long a try may wait for its answer, in milliseconds.
 
     :param retry_policy: the route's ``RetryPolicy``.
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
-from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.event_stream import EventReader
+from goldcrestmoor.request.apps import AppResponse
+from goldcrestmoor.request.event_stream import EventParser
 from goldcrestmoor.request.forwarding import Sender, TryEnd
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 
@@ -24,7 +24,7 @@
 SILENCE_MS = 2000
 
 
-class StreamAnswer(msgspec.Struct, frozen=True):
+class StreamResponse(msgspec.Struct, frozen=True):
     """An answer that comes in events.
 
     :param headers: ``(name, value)`` byte pairs of the first upstream's answer.
@@ -47,8 +47,8 @@
         :param request: the :class:`~goldcrestmoor.request.forwarding.CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
         :param deadline: when the stream must have ended.
-        :return: a :class:`StreamAnswer`, or an
-            :class:`~goldcrestmoor.request.apps.AppAnswer` when it is no stream.
+        :return: a :class:`StreamResponse`, or an
+            :class:`~goldcrestmoor.request.apps.AppResponse` when it is no stream.
         :raises ServiceError: as ``Forwarder.forward``.
         """
         tries = self._tries(request, route, deadline)
@@ -56,7 +56,7 @@
         try:
             head = await anext(parts)
             match head:
-                case AppAnswer():
+                case AppResponse():
                     await parts.aclose()
                     return head
                 case _:
@@ -64,7 +64,7 @@
         except BaseException:
             await parts.aclose()
             raise
-        return StreamAnswer(head, _joined(first, parts))
+        return StreamResponse(head, _joined(first, parts))
 
     async def _run(self, tries):
         """Yield the first upstream's headers, then each event's bytes.
@@ -74,11 +74,11 @@
         last_id, has_head, has_events = "", False, False
         while True:
             upstream = tries.next_upstream()
-            reader = EventReader(self._dialect.EVENT_FIELDS)
+            reader = EventParser(self._dialect.EVENT_FIELDS)
             try:
                 async with self._opened(upstream, tries, last_id) as response:
                     end = await self._check(upstream, tries, response, has_head)
-                    if isinstance(end, AppAnswer):
+                    if isinstance(end, AppResponse):
                         yield end
                         return
                     if end is None:
@@ -91,7 +91,7 @@
                                 last_id = event.id or last_id
                                 has_events = True
                                 yield event.raw
-                        if not reader.has_rest:
+                        if not reader.has_partial_event:
                             self._loads.note_answer(upstream, tries.route.name)
                             return
                         end = TryEnd(Ran.UNKNOWN, "The stream ended within an event")
@@ -151,7 +151,7 @@
         if has_head:
             return TryEnd(Ran.RAN, f"{upstream.name} did not resume it: {status}")
         chunks = [chunk async for chunk in response.body()]
-        return AppAnswer(status, tuple(headers), b"".join(chunks))
+        return AppResponse(status, tuple(headers), b"".join(chunks))
 
 
 async def _joined(first, parts):
--- a/goldcrestmoor/request/token_chunk.py
+++ b/goldcrestmoor/request/token_chunk.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Piece(msgspec.Struct, frozen=True):
+class TokenChunk(msgspec.Struct, frozen=True):
     """Some consecutive tokens of one stream.
 
     :param text: their text.
@@ -33,22 +33,22 @@
     tokens: int
 
 
-def join(pieces):
+def merge_by_version(chunks):
     """Yield the segments that pieces make up, one for each run of a version.
 
-    :param pieces: an iterable of :class:`Piece`.
+    :param chunks: an iterable of :class:`TokenChunk`.
     """
     current = None
-    for piece in pieces:
-        if current is not None and piece.version == current.version:
+    for chunk in chunks:
+        if current is not None and chunk.version == current.version:
             current = Segment(
                 current.version,
-                current.text + piece.text,
-                current.tokens + piece.tokens,
+                current.text + chunk.text,
+                current.tokens + chunk.tokens,
             )
             continue
         if current is not None:
             yield current
-        current = Segment(piece.version, piece.text, piece.tokens)
+        current = Segment(chunk.version, chunk.text, chunk.tokens)
     if current is not None:
         yield current
--- a/goldcrestmoor/request/upstream_choice.py
+++ b/goldcrestmoor/request/upstream_choice.py
@@ -17,7 +17,7 @@
 FAILED_COST = 100.0
 
 
-class Choice(msgspec.Struct, frozen=True):
+class Candidate(msgspec.Struct, frozen=True):
     """An upstream as the choice sees it.
 
     :param name: its name.
@@ -39,7 +39,7 @@
 def choose_upstream(choices, avoid=()):
     """Return the name of the upstream that a request goes to, or None.
 
-    :param choices: an iterable of :class:`Choice`.
+    :param choices: an iterable of :class:`Candidate`.
     :param avoid: the names of those that the request has been sent to.
     """
     ranked = sorted((c for c in choices if c.name not in avoid), key=_cost)
--- a/goldcrestmoor/request/upstream_loads.py
+++ b/goldcrestmoor/request/upstream_loads.py
@@ -2,7 +2,7 @@
 
 import contextlib
 
-from goldcrestmoor.request.upstream_choice import Choice, choose_upstream
+from goldcrestmoor.request.upstream_choice import Candidate, choose_upstream
 
 # An upstream that failed is left alone for so long while there is another, twice as
 # long after each further failure: a server that is cut off is listed for seconds yet.
@@ -28,7 +28,7 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the ``HttpClient``, which knows the open connections.
-    :param directory: the :class:`~goldcrestmoor.process.directory.Directory`.
+    :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param zone: this host's availability zone.
     """
 
@@ -64,7 +64,7 @@
 
     def _view(self, upstream, now_ms):
         failure = self._failure_by_name.get(upstream.name)
-        return Choice(
+        return Candidate(
             name=upstream.name,
             in_flight=self._in_flight_by_name.get(upstream.name, 0),
             slots=upstream.slots,
--- a/goldcrestmoor/version/steps/partial_outputs.py
+++ b/goldcrestmoor/version/steps/partial_outputs.py
@@ -1,6 +1,6 @@
 """What ended streams of a step made, for the next try of their slots."""
 
-from goldcrestmoor.request.token_chunk import Piece
+from goldcrestmoor.request.token_chunk import TokenChunk
 
 
 class PartialOutputs:
@@ -11,26 +11,27 @@
         that an earlier holder's streams had come to.
     """
 
-    __slots__ = ("_is_on", "_pieces_by_slot")
+    __slots__ = ("_is_on", "_chunks_by_slot")
 
     def __init__(self, is_on, partials=()):
         self._is_on = is_on
-        self._pieces_by_slot = {}
+        self._chunks_by_slot = {}
         if is_on:
             for partial in partials:
-                pieces = [
-                    Piece(s.text, s.tokens, s.version, "") for s in partial.segments
+                chunks = [
+                    TokenChunk(s.text, s.tokens, s.version, "")
+                    for s in partial.segments
                 ]
-                self._pieces_by_slot[partial.slot] = pieces
+                self._chunks_by_slot[partial.slot] = chunks
 
     def keep(self, stream):
         """Keep the pieces of a stream that failed.
 
         :param stream: the :class:`~goldcrestmoor.version.steps.step_stream.Stream`.
         """
-        kept = self._pieces_by_slot.get(stream.slot, ())
-        if self._is_on and len(stream.pieces) > len(kept):
-            self._pieces_by_slot[stream.slot] = stream.pieces
+        kept = self._chunks_by_slot.get(stream.slot, ())
+        if self._is_on and len(stream.chunks) > len(kept):
+            self._chunks_by_slot[stream.slot] = stream.chunks
 
     def take(self, slot, max_tokens, oldest_version):
         """Return the pieces that a slot's next stream goes on from, often none.
@@ -40,15 +41,15 @@
             of no use, as they lack their end.
         :param oldest_version: the oldest weight version that may be delivered.
         """
-        pieces = self._pieces_by_slot.pop(slot, ())
-        is_full = sum(piece.tokens for piece in pieces) >= max_tokens
-        if is_full or any(piece.version < oldest_version for piece in pieces):
+        chunks = self._chunks_by_slot.pop(slot, ())
+        is_full = sum(chunk.tokens for chunk in chunks) >= max_tokens
+        if is_full or any(chunk.version < oldest_version for chunk in chunks):
             return ()
-        return pieces
+        return chunks
 
     def forget(self, slot):
         """Drop what is kept for a slot that has its sample.
 
         :param slot: the slot.
         """
-        self._pieces_by_slot.pop(slot, None)
+        self._chunks_by_slot.pop(slot, None)
--- a/goldcrestmoor/version/steps/step_holder.py
+++ b/goldcrestmoor/version/steps/step_holder.py
@@ -49,7 +49,7 @@
     :param router: the :class:`~goldcrestmoor.version.steps.step_router.StepRouter`.
     :param lease: the ``ConfigurationLease``.
     :param versions: the ``PublishedVersions``.
-    :param decisions: the ``Decisions``.
+    :param decisions: the ``DecisionLog``.
     :param metrics: the ``Metrics``.
     :param settings: the host's settings.
     """
--- a/goldcrestmoor/version/steps/step_run.py
+++ b/goldcrestmoor/version/steps/step_run.py
@@ -32,7 +32,7 @@
     :param completions: the ``Completions``.
     :param store: the :class:`~goldcrestmoor.version.steps.step_store.StepStore`.
     :param lease: the ``ConfigurationLease``.
-    :param decisions: the ``Decisions``.
+    :param decisions: the ``DecisionLog``.
     :param metrics: the ``Metrics``.
     :param hedge_percent: second copies allowed, of the step's slots.
     :param is_wanted: tells whether this host is still to work on the step.
@@ -102,7 +102,7 @@
         """Yield what the streams have come to, the longest of each slot."""
         for slot, streams in self._streams_by_slot.items():
             longest = max(streams, key=Stream.tokens)
-            if longest.pieces and longest.states_versions():
+            if longest.chunks and longest.states_versions():
                 yield Partial(slot, longest.segments())
 
     def _account(self):
@@ -135,10 +135,10 @@
 
     def _is_doomed(self, stream, bound):
         """Tell whether a stream will be too old, and one begun now would not be."""
-        if not self._drops_early or not stream.pieces:
+        if not self._drops_early or not stream.chunks:
             return False
         now_ms = self._clock.now_ms()
-        oldest = min(piece.version for piece in stream.pieces)
+        oldest = min(chunk.version for chunk in stream.chunks)
         if oldest >= self._state.trainer_version:
             return False
         too_old_ms = self._pace.expires_at_ms(oldest, bound)
@@ -176,8 +176,8 @@
         )
         for slot in ordered[:idle]:
             group = self._state.group_by_index[slot.group]
-            pieces = self._kept.take(slot, group.max_tokens, self._floor(account))
-            self._start(Stream(slot, group, now_ms, pieces), account)
+            chunks = self._kept.take(slot, group.max_tokens, self._floor(account))
+            self._start(Stream(slot, group, now_ms, chunks), account)
 
     def _may_retry(self, slot, now_ms):
         retry = self._retry_by_slot.get(slot)
@@ -186,11 +186,11 @@
     def _start(self, stream, account, avoid=()):
         self._streams_by_slot.setdefault(stream.slot, []).append(stream)
         text = f"Sample {stream.slot.group}/{stream.slot.index} of a step."
-        self._decisions.note("steps", stream.request_id, text)
+        self._decisions.record("steps", stream.request_id, text)
         stream.task = self._tasks.start(self._make(stream, account, avoid))
 
     def _stop(self, stream, reason):
-        self._decisions.note("steps", stream.request_id, f"Cancelled. {reason}")
+        self._decisions.record("steps", stream.request_id, f"Cancelled. {reason}")
         self._remove(stream)
         stream.task.cancel()
 
@@ -221,7 +221,7 @@
 
     async def _receive(self, stream, account, avoid):
         spec = self._state.spec
-        pieces = self._completions.generate(
+        chunks = self._completions.generate(
             account=account,
             pool=spec.pool,
             prompt=stream.group.prompt,
@@ -234,10 +234,10 @@
             avoid=avoid,
             prefix_key=f"{spec.account}/{spec.step}/{stream.group.index}",
         )
-        async with contextlib.aclosing(pieces):
-            async for piece in pieces:
-                stream.pieces.append(piece)
-                if piece.version < self._floor(account):
+        async with contextlib.aclosing(chunks):
+            async for chunk in chunks:
+                stream.chunks.append(chunk)
+                if chunk.version < self._floor(account):
                     return
 
     def _sample(self, stream, account):
@@ -295,16 +295,16 @@
                 case stragglers.Copy(gain_ms):
                     self._start_hedge(stream, (), gain_ms, account)
                 case stragglers.Continue(gain_ms):
-                    self._start_hedge(stream, stream.pieces, gain_ms, account)
+                    self._start_hedge(stream, stream.chunks, gain_ms, account)
 
-    def _start_hedge(self, stream, pieces, gain_ms, account):
+    def _start_hedge(self, stream, chunks, gain_ms, account):
         self._hedges_left -= 1
         self._count("hedged")
         text = f"A second copy starts, to save about {gain_ms} ms."
-        self._decisions.note("steps", stream.request_id, text)
+        self._decisions.record("steps", stream.request_id, text)
         now_ms = self._clock.now_ms()
-        hedge = Stream(stream.slot, stream.group, now_ms, pieces, is_hedge=True)
-        avoid = tuple({piece.upstream for piece in stream.pieces[-1:]})
+        hedge = Stream(stream.slot, stream.group, now_ms, chunks, is_hedge=True)
+        avoid = tuple({chunk.upstream for chunk in stream.chunks[-1:]})
         self._start(hedge, account, avoid)
 
     def _count(self, outcome):
--- a/goldcrestmoor/version/steps/step_stream.py
+++ b/goldcrestmoor/version/steps/step_stream.py
@@ -1,7 +1,7 @@
 """One stream that is to fill a slot."""
 
 from goldcrestmoor import util
-from goldcrestmoor.request.token_chunk import join
+from goldcrestmoor.request.token_chunk import merge_by_version
 from goldcrestmoor.version.steps.steps import make_sample
 from goldcrestmoor.version.steps.stragglers import Progress
 
@@ -12,24 +12,24 @@
     :param slot: the slot to fill.
     :param group: its group's specification.
     :param started_ms: when it was started, on the clock's scale.
-    :param pieces: what it goes on from.
+    :param chunks: what it goes on from.
     :param is_hedge: whether it is a second copy.
     """
 
     __slots__ = (
         "slot",
         "group",
-        "pieces",
+        "chunks",
         "started_ms",
         "request_id",
         "task",
         "is_hedge",
     )
 
-    def __init__(self, slot, group, started_ms, pieces=(), is_hedge=False):
+    def __init__(self, slot, group, started_ms, chunks=(), is_hedge=False):
         self.slot = slot
         self.group = group
-        self.pieces = list(pieces)
+        self.chunks = list(chunks)
         self.started_ms = started_ms
         self.request_id = util.new_id()
         self.task = None
@@ -37,7 +37,7 @@
 
     def tokens(self):
         """Return the tokens received."""
-        return sum(piece.tokens for piece in self.pieces)
+        return sum(chunk.tokens for chunk in self.chunks)
 
     def tokens_left(self):
         """Return the tokens that it may still have, at least one."""
@@ -45,22 +45,22 @@
 
     def text(self):
         """Return the text received."""
-        return "".join(piece.text for piece in self.pieces)
+        return "".join(chunk.text for chunk in self.chunks)
 
     def older_than(self, version):
         """Tell whether a token was made by an older version.
 
         :param version: the weight version.
         """
-        return any(piece.version < version for piece in self.pieces)
+        return any(chunk.version < version for chunk in self.chunks)
 
     def states_versions(self):
         """Tell whether every piece states the version that made it."""
-        return all(piece.version for piece in self.pieces)
+        return all(chunk.version for chunk in self.chunks)
 
     def ended(self):
         """Tell whether the engine said that the sample is whole."""
-        return bool(self.pieces) and bool(self.pieces[-1].finish_reason)
+        return bool(self.chunks) and bool(self.chunks[-1].finish_reason)
 
     def progress(self, now_ms):
         """Return how far it is.
@@ -72,10 +72,12 @@
 
     def segments(self):
         """Return the text received, by weight version."""
-        return tuple(join(self.pieces))
+        return tuple(merge_by_version(self.chunks))
 
     def sample(self):
         """Return the sample that its pieces make up."""
         # A piece without tokens ends a stream and made none of its text.
-        made = [p for p in self.pieces if p.tokens or p.text] or self.pieces
-        return make_sample(self.slot, join(made), self.pieces[-1].finish_reason)
+        made = [p for p in self.chunks if p.tokens or p.text] or self.chunks
+        return make_sample(
+            self.slot, merge_by_version(made), self.chunks[-1].finish_reason
+        )
--- a/goldcrestmoor/version/steps/step_sweeper.py
+++ b/goldcrestmoor/version/steps/step_sweeper.py
@@ -34,7 +34,7 @@
         """Sweep from time to time, until cancelled."""
         while True:
             await self._clock.sleep_ms(SWEEP_MS)
-            if self._ownership.preferred(DUTY, 1) != [self._host_id]:
+            if self._ownership.preferred_hosts(DUTY, 1) != [self._host_id]:
                 continue
             try:
                 deleted = await self._records.delete_expired(MAX_ROWS)
--- a/goldcrestmoor/version/weights/engine_versions.py
+++ b/goldcrestmoor/version/weights/engine_versions.py
@@ -11,15 +11,15 @@
     """Keeps what the ordering hosts say about the engines of each model.
 
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
+    :param broadcast: the :class:`~goldcrestmoor.process.broadcast.TreeBroadcast`.
     :param configuration: gives the
         :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
     """
 
-    __slots__ = ("_spread", "_configuration", "_known_by_model", "_sequence")
+    __slots__ = ("_broadcast", "_configuration", "_known_by_model", "_sequence")
 
-    def __init__(self, *, links, spread, configuration):
-        self._spread = spread
+    def __init__(self, *, links, broadcast, configuration):
+        self._broadcast = broadcast
         self._configuration = configuration
         self._known_by_model = {}
         self._sequence = 0
@@ -55,11 +55,11 @@
         self._sequence += 1
         message = EngineVersions(model, fencing, self._sequence, version, exceptions)
         self._take(message)
-        self._spread.start(message)
+        self._broadcast.broadcast(message)
 
     async def _on_versions(self, sender, message):
         self._take(message)
-        self._spread.pass_on(message, message.targets)
+        self._broadcast.forward(message, message.targets)
 
     def _take(self, message):
         pools = self._configuration().pools_by_name.values()
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -33,10 +33,10 @@
     :param runs_model: tells whether this host runs a model's jobs now.
     :param demand: gives the ``Demand`` for a
         model.
-    :param directory: the :class:`~goldcrestmoor.process.directory.Directory`.
+    :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param versions: the ``TargetVersions``.
     :param routes: gives the ``RouteTable`` in force.
-    :param engines: reports and orders, such as the adapter's ``EngineOrders``.
+    :param engines: reports and orders, such as the adapter's ``EngineControlClient``.
     :param order_log: the :class:`~goldcrestmoor.version.weights.order_log.OrderLog`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param host_id: this host.
--- a/goldcrestmoor/version/weights/order_log.py
+++ b/goldcrestmoor/version/weights/order_log.py
@@ -64,7 +64,7 @@
             return None
         fencing = entry.fencing + 1 if entry else 1
         # A slow store would else have each entry made too late.
-        write_ms = WRITE_ANSWERS * self._store.answer_ms()
+        write_ms = WRITE_ANSWERS * self._store.latency_ms()
         new = OrderEntry(self._host_id, fencing, now_ms + write_ms)
         self._known_by_engine.pop(engine, None)
         sent_ms = self._clock.now_ms()
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -47,7 +47,7 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the :class:`~goldcrestmoor.adapters.table.TableClient`.
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
-    :param spread: the :class:`~goldcrestmoor.process.broadcast.Spread`.
+    :param broadcast: the :class:`~goldcrestmoor.process.broadcast.TreeBroadcast`.
     :param weight_store: the
         :class:`~goldcrestmoor.adapters.weights.WeightStoreClient`, or None.
     """
@@ -55,7 +55,7 @@
     __slots__ = (
         "_clock",
         "_table",
-        "_spread",
+        "_broadcast",
         "_weight_store",
         "_versions_by_model",
         "_versions_by_publisher",
@@ -64,10 +64,10 @@
         "_followed",
     )
 
-    def __init__(self, *, clock, table, links, spread, weight_store=None):
+    def __init__(self, *, clock, table, links, broadcast, weight_store=None):
         self._clock = clock
         self._table = table
-        self._spread = spread
+        self._broadcast = broadcast
         self._weight_store = weight_store
         self._versions_by_model = {}
         self._versions_by_publisher = {}
@@ -131,7 +131,7 @@
             raise ServiceError(kind, "The version's row would not settle.")
         log.info("Version %d of %s was published by %s.", version, model, account)
         self._take(model, version, account)
-        self._spread.start(VersionPublished(model, version, account))
+        self._broadcast.broadcast(VersionPublished(model, version, account))
 
     @contextlib.asynccontextmanager
     async def fast_polling(self):
@@ -202,7 +202,7 @@
 
     async def _on_published(self, sender, message):
         self._take(message.model, message.version, message.account)
-        self._spread.pass_on(message, message.targets)
+        self._broadcast.forward(message, message.targets)
 
     def _take_row(self, row):
         try:
--- a/goldcrestmoor/version/weights/weight_update_manager.py
+++ b/goldcrestmoor/version/weights/weight_update_manager.py
@@ -118,7 +118,7 @@
         if self._stopping:
             return False
         duty = f"weights/{model}"
-        return self._host_id in self._ownership.preferred(duty, CANDIDATE_HOSTS)
+        return self._host_id in self._ownership.preferred_hosts(duty, CANDIDATE_HOSTS)
 
     def _wake(self, model):
         driver = self._drivers_by_model.get(model)
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -169,7 +169,7 @@
         An engine that ignores fencing numbers could take a late order of the
         holder before. Its lease is over, so its last order ends in time.
         """
-        if upstream.fencing or self.lease.handed_over:
+        if upstream.fencing or self.lease.was_released:
             return self._started_ms
         return self._started_ms + ORDER_TIMEOUT_MS
 
--- a/test/_request_fakes.py
+++ b/test/_request_fakes.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.connection.http_client import HttpClient
 from goldcrestmoor.connection.retry_budget import MAX_SAVED_RETRIES, RetryBudget
 from goldcrestmoor.errors import ErrorKind, ServiceError, from_body, to_body
-from goldcrestmoor.process.decision_log import Decisions
+from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.version.configuration.document import (
     Account,
@@ -30,7 +30,7 @@
     budget = RetryBudget(clock=Clock(), percent=10)
     for _ in range(10 * MAX_SAVED_RETRIES):
         for pool in KIND_BY_POOL:
-            budget.note_request(pool)
+            budget.record_request(pool)
     return budget
 
 
@@ -176,7 +176,7 @@
 
 def parts():
     """Return what most parts need: metrics and decisions."""
-    return {"metrics": Metrics(), "decisions": Decisions(Clock())}
+    return {"metrics": Metrics(), "decisions": DecisionLog(Clock())}
 
 
 def limits(**changes):
--- a/test/_step_fakes.py
+++ b/test/_step_fakes.py
@@ -9,9 +9,9 @@
 from goldcrestmoor.adapters.table import CheckFailed, Committed, Row
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.decision_log import Decisions
+from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.process.metrics import Metrics
-from goldcrestmoor.request.token_chunk import Piece
+from goldcrestmoor.request.token_chunk import TokenChunk
 from goldcrestmoor.version.configuration import document as config
 from goldcrestmoor.version.steps.step_gateway import StepGateway
 from goldcrestmoor.version.steps.step_holder import StepHolder
@@ -95,12 +95,12 @@
         number = sum(1 for c in self.calls if c["seed"] == seed) - 1
         try:
             if number < len(scripts):
-                async for piece in scripts[number](call):
-                    yield piece
+                async for chunk in scripts[number](call):
+                    yield chunk
                 return
             await asyncio.sleep(0)
             text = f"{seed}-{len(self.calls)}"
-            yield Piece(text, 3, self.version, "engine-1", "stop")
+            yield TokenChunk(text, 3, self.version, "engine-1", "stop")
         finally:
             self.closed += 1
 
@@ -216,7 +216,7 @@
             store=self.store,
             links=self.links,
             lease=fleet,
-            decisions=Decisions(fleet.clock),
+            decisions=DecisionLog(fleet.clock),
             **shared,
         )
         self.front = StepGateway(holder=self.holder, **shared)
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -10,15 +10,15 @@
 
 from goldcrestmoor.adapters.hosts import ListedHost
 from goldcrestmoor.clock import Clock, Deadline
-from goldcrestmoor.process.decision_log import Decisions
+from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.process.member_table import MemberTable
 from goldcrestmoor.process.membership_messages import HostRecord, HostState
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.request.admission import Grant
 from goldcrestmoor.request.admission_messages import HeldGrant, RenewGrants
 from goldcrestmoor.request.admission_owner import AdmissionOwner
-from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.outcome_cache import KeyMemory
+from goldcrestmoor.request.apps import AppResponse
+from goldcrestmoor.request.outcome_cache import OutcomeCache
 from goldcrestmoor.request.token_chunk import Segment
 from goldcrestmoor.version.steps.step_messages import StoreSamples
 from goldcrestmoor.version.steps.step_state import StepState
@@ -72,13 +72,13 @@
 
 async def _keys(clock):
     settings = _common.make_settings().idempotency
-    memory = KeyMemory(clock=clock, settings=settings)
+    memory = OutcomeCache(clock=clock, settings=settings)
     headers = ((b"content-type", b"application/json"), (b"date", b"x" * 29))
 
     def answering(i):
         async def answer():
             kept = tuple((k + b"", bytes(bytearray(v))) for k, v in headers)
-            return AppAnswer(201, kept, f'{{"saved": "note {i:060}"}}'.encode())
+            return AppResponse(201, kept, f'{{"saved": "note {i:060}"}}'.encode())
 
         return answer
 
@@ -91,10 +91,10 @@
 
 
 async def _decisions(clock):
-    decisions = Decisions(clock)
+    decisions = DecisionLog(clock)
     for i in range(ITEMS):
         for text in (f"host-7 granted lm-{i} after 3 ms.", f"Sent to lm-{i} of z."):
-            decisions.note("apps", f"{i:024}", text)
+            decisions.record("apps", f"{i:024}", text)
     return decisions
 
 
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.adapters.engine import EngineClient
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.connection.http_client import HttpClient
-from goldcrestmoor.process.broadcast import Spread
+from goldcrestmoor.process.broadcast import TreeBroadcast
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.configuration.document import (
@@ -67,7 +67,7 @@
     clock = Clock()
     http = HttpClient(clock=clock, limits=_common.make_settings().limits)
     versions, published = _Versions(), _Published()
-    lease = SimpleNamespace(fencing=1, handed_over=True, holds=lambda: True)
+    lease = SimpleNamespace(fencing=1, was_released=True, holds=lambda: True)
     configuration = _configuration(places, count)
     driver = WeightUpdater(
         clock=clock,
@@ -134,15 +134,15 @@
             waiting.append((target, message))
 
         links = SimpleNamespace(send=send)
-        return Spread(links=links, membership=membership, host_id=host_id)
+        return TreeBroadcast(links=links, membership=membership, host_id=host_id)
 
-    spread("host-0").start(VersionPublished(MODEL, 1))
+    spread("host-0").broadcast(VersionPublished(MODEL, 1))
     hops = 0
     while waiting:
         hops += 1
         level, waiting = waiting, []
         for target, message in level:
-            spread(target).pass_on(message, message.targets)
+            spread(target).forward(message, message.targets)
     yield HOSTS, len(received), max(received.values()), max(sent.values()), hops
 
 
--- a/test/bench_admission.py
+++ b/test/bench_admission.py
@@ -87,7 +87,7 @@
         )
 
     async def complete(i):
-        pieces = hosts[i % HOSTS].generate(
+        chunks = hosts[i % HOSTS].generate(
             account=account,
             pool="lm",
             prompt=f"prompt {i}",
@@ -96,7 +96,7 @@
             deadline=Deadline.after(clock, TIMEOUT_MS),
             request_id=f"r{i}",
         )
-        return sum([piece.tokens async for piece in pieces])
+        return sum([chunk.tokens async for chunk in chunks])
 
     started = time.monotonic()
     await asyncio.gather(*(complete(i) for i in range(STREAMS)))
--- a/test/test_adaptive_timeout.py
+++ b/test/test_adaptive_timeout.py
@@ -2,61 +2,61 @@
 
 import unittest
 
-from goldcrestmoor.connection.adaptive_timeout import AnswerTimes, Patience
+from goldcrestmoor.connection.adaptive_timeout import AdaptiveTimeout, ResponseTimes
 
 
 class PatienceTest(unittest.TestCase):
     def setUp(self):
         self.read_ms = 5
-        self.patience = Patience(300, 500, lambda: self.read_ms)
+        self.timeout = AdaptiveTimeout(300, 500, lambda: self.read_ms)
 
     def test_a_store_that_is_well_is_asked_again_soon(self):
         for _ in range(20):
-            self.patience.note_answer(10)
-        self.assertEqual(self.patience.wait_ms(), 300)
+            self.timeout.record_response(10)
+        self.assertEqual(self.timeout.wait_ms(), 300)
 
     def test_a_slow_store_gets_the_time_that_its_last_answers_took(self):
-        self.patience.note_answer(900)
-        self.assertEqual(self.patience.wait_ms(), 1800)
+        self.timeout.record_response(900)
+        self.assertEqual(self.timeout.wait_ms(), 1800)
 
     def test_slow_reads_tell_of_it_before_the_first_answer(self):
         """A second of others' writes is waiting, and a read takes a quarter of one."""
         self.read_ms = 240
-        self.assertGreaterEqual(self.patience.wait_ms(), 1000 + 300 + 240)
+        self.assertGreaterEqual(self.timeout.wait_ms(), 1000 + 300 + 240)
 
     def test_an_outage_is_probed_at_a_steady_pace(self):
         for _ in range(10):
-            self.patience.note_missed()
-        self.assertEqual(self.patience.wait_ms(), 500)
-        self.patience.note_answer(10)
-        self.assertEqual(self.patience.wait_ms(), 300)
+            self.timeout.record_timeout()
+        self.assertEqual(self.timeout.wait_ms(), 500)
+        self.timeout.record_response(10)
+        self.assertEqual(self.timeout.wait_ms(), 300)
 
     def test_a_slow_spell_is_forgotten(self):
-        self.patience.note_answer(900)
+        self.timeout.record_response(900)
         for _ in range(10):
-            self.patience.note_answer(10)
-        self.assertEqual(self.patience.wait_ms(), 300)
+            self.timeout.record_response(10)
+        self.assertEqual(self.timeout.wait_ms(), 300)
 
 
 class AnswerTimesTest(unittest.TestCase):
     def setUp(self):
-        self.times = AnswerTimes()
+        self.times = ResponseTimes()
 
     def note_all(self, *elapsed_ms):
         for each_ms in elapsed_ms:
-            self.times.note(each_ms, 500)
+            self.times.record(each_ms, 500)
 
     def test_nothing_is_known_at_first(self):
-        self.assertEqual(self.times.usual_ms(), 0)
+        self.assertEqual(self.times.typical_ms(), 0)
 
     def test_a_feed_without_news_waits_and_is_not_slow(self):
         self.note_all(505, 506, 504, 507)
-        self.assertEqual(self.times.usual_ms(), 4)
+        self.assertEqual(self.times.typical_ms(), 4)
 
     def test_a_feed_with_news_late_in_its_wait_is_not_slow(self):
         self.note_all(450, 6, 300, 505)
-        self.assertLessEqual(self.times.usual_ms(), 6)
+        self.assertLessEqual(self.times.typical_ms(), 6)
 
     def test_a_slow_store_shows_in_all_answers(self):
         self.note_all(240, 260, 745, 310)
-        self.assertGreaterEqual(self.times.usual_ms(), 240)
+        self.assertGreaterEqual(self.times.typical_ms(), 240)
--- a/test/test_apps.py
+++ b/test/test_apps.py
@@ -5,7 +5,7 @@
 
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.apps import Applications, AppRequest
+from goldcrestmoor.request.apps import ApplicationClient, AppRequest
 from goldcrestmoor.request.placement import (
     LeastLoaded,
     Placement,
@@ -33,7 +33,7 @@
 
     def make_applications(self):
         placement = Placement(zone="zone-a", lease=self.lease, policy=TwoChoices())
-        return Applications(
+        return ApplicationClient(
             clock=self.clock,
             http=self.http,
             placement=placement,
@@ -152,10 +152,10 @@
     def test_every_zone_that_answers_takes_work(self):
         lease = fakes.FakeLease(fakes.upstream("a"), fakes.upstream("b", zone="zone-b"))
         self.assertEqual(self.names(lease), ["a", "b"])
-        self.assertEqual(self.names(lease, zone_answers=lambda zone: False), ["a"])
+        self.assertEqual(self.names(lease, is_zone_live=lambda zone: False), ["a"])
         lease.replace(fakes.upstream("a", draining=True))
         self.assertEqual(self.names(lease), ["b"])
-        self.assertEqual(self.names(lease, zone_answers=lambda zone: False), ["b"])
+        self.assertEqual(self.names(lease, is_zone_live=lambda zone: False), ["b"])
         self.assertEqual(self.names(lease, is_leaving=lambda name: True), [])
 
     def test_the_own_zone_goes_first_while_it_has_room(self):
--- a/test/test_completions.py
+++ b/test/test_completions.py
@@ -11,7 +11,7 @@
 from goldcrestmoor.request.admission_owner import AdmissionOwner
 from goldcrestmoor.request.completions import Completions
 from goldcrestmoor.request.placement import LeastLoaded, Placement
-from goldcrestmoor.request.token_chunk import join
+from goldcrestmoor.request.token_chunk import merge_by_version
 from test import _request_fakes as fakes
 from test._common import eventually
 from test.standins import engine as standin
@@ -78,27 +78,27 @@
             **options,
         )
 
-    async def pieces(self, *args, **options):
+    async def chunks(self, *args, **options):
         async with contextlib.aclosing(self.generate(*args, **options)) as stream:
-            return [piece async for piece in stream]
+            return [chunk async for chunk in stream]
 
     async def error(self, *args, **options):
         with self.assertRaises(ServiceError) as caught:
-            await self.pieces(*args, **options)
+            await self.chunks(*args, **options)
         return caught.exception
 
-    def check_whole(self, pieces, tokens=20):
-        text = "".join(piece.text for piece in pieces)
+    def check_whole(self, chunks, tokens=20):
+        text = "".join(chunk.text for chunk in chunks)
         self.assertEqual(text, standin.expected_text(PROMPT, 7, tokens))
-        self.assertEqual(sum(piece.tokens for piece in pieces), tokens)
-        self.assertEqual(pieces[-1].finish_reason, "length")
+        self.assertEqual(sum(chunk.tokens for chunk in chunks), tokens)
+        self.assertEqual(chunks[-1].finish_reason, "length")
 
 
 class CompletionsTest(CompletionsTestCase):
     async def test_a_whole_text_names_its_version(self):
-        pieces = await self.pieces()
-        self.check_whole(pieces)
-        self.assertEqual({piece.version for piece in pieces}, {1})
+        chunks = await self.chunks()
+        self.check_whole(chunks)
+        self.assertEqual({chunk.version for chunk in chunks}, {1})
         self.assertEqual(self.owner.in_flight("lm-1"), 0)
 
     async def test_a_failed_stream_goes_on_elsewhere_from_its_tokens(self):
@@ -111,21 +111,21 @@
                 port=self.lease.configuration.upstreams_by_name["lm-2"].port,
             )
         )
-        pieces = await self.pieces()
-        self.check_whole(pieces)
-        segments = [(s.version, s.tokens) for s in join(pieces)]
+        chunks = await self.chunks()
+        self.check_whole(chunks)
+        segments = [(s.version, s.tokens) for s in merge_by_version(chunks)]
         self.assertEqual(segments, [(1, 8), (2, 12)])
         self.assertEqual(other.tokens, 12)
 
     async def test_a_swap_in_the_middle_of_a_stream_shows_in_the_segments(self):
         stream = self.generate(40)
-        pieces = []
-        async for piece in stream:
-            pieces.append(piece)
-            if len(pieces) == 5:
+        chunks = []
+        async for chunk in stream:
+            chunks.append(chunk)
+            if len(chunks) == 5:
                 self.engines_by_name["lm-1"].options.version = 2
-        self.check_whole(pieces, 40)
-        self.assertEqual([s.version for s in join(pieces)], [1, 2])
+        self.check_whole(chunks, 40)
+        self.assertEqual([s.version for s in merge_by_version(chunks)], [1, 2])
 
     async def test_a_silent_engine_is_left_long_before_the_deadline(self):
         self.engines_by_name["lm-1"].options.silent_after = 3
@@ -137,7 +137,7 @@
                 port=self.lease.configuration.upstreams_by_name["lm-2"].port,
             )
         )
-        self.check_whole(await self.pieces())
+        self.check_whole(await self.chunks())
 
     async def test_an_engine_that_sends_only_comments_is_left_too(self):
         self.engines_by_name["lm-1"].options.silent_after = 3
@@ -150,7 +150,7 @@
                 port=self.lease.configuration.upstreams_by_name["lm-2"].port,
             )
         )
-        self.check_whole(await self.pieces())
+        self.check_whole(await self.chunks())
 
     async def test_a_stream_without_its_end_mark_is_an_error(self):
         self.engines_by_name["lm-1"].options.end_mark = False
@@ -164,16 +164,16 @@
             timeout_ms=60_000,
         )
         with self.assertRaises(ServiceError) as caught:
-            [piece async for piece in stream]
+            [chunk async for chunk in stream]
         self.assertEqual(caught.exception.kind, ErrorKind.UPSTREAM_FAILED)
 
     async def test_a_text_is_not_ended_by_a_stream_without_its_end_mark(self):
         self.engines_by_name["lm-1"].options.end_mark = False
-        pieces = []
+        chunks = []
         with self.assertRaises(ServiceError):
-            async for piece in self.generate():
-                pieces.append(piece)
-        self.assertEqual([p.finish_reason for p in pieces if p.finish_reason], [])
+            async for chunk in self.generate():
+                chunks.append(chunk)
+        self.assertEqual([p.finish_reason for p in chunks if p.finish_reason], [])
 
     async def test_an_engine_that_states_no_version_gives_nothing(self):
         self.engines_by_name["lm-1"].options.state_version = False
@@ -197,7 +197,7 @@
         await eventually(lambda: self.owner.in_flight("lm-1") == 0)
 
     async def test_no_more_than_the_slots_run_at_a_time(self):
-        await asyncio.gather(*(self.pieces() for _ in range(12)))
+        await asyncio.gather(*(self.chunks() for _ in range(12)))
         self.assertLessEqual(self.engines_by_name["lm-1"].max_running, 2)
 
     async def test_orders_with_an_old_fencing_number_are_refused(self):
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -9,15 +9,15 @@
 from goldcrestmoor.job.job import Item
 from goldcrestmoor.job.runner_choice import claim_delay_ms
 from goldcrestmoor.job.stragglers import Running, moves
-from goldcrestmoor.process.readiness import PeerView, Readiness
-from goldcrestmoor.process.relay_choice import choose_detour
+from goldcrestmoor.process.readiness import PeerStatus, ReadinessMonitor
+from goldcrestmoor.process.relay_choice import choose_relay
 from goldcrestmoor.request.retry_decision import (
     GiveUp,
     SendAgain,
-    after_try,
-    try_bound_ms,
+    attempt_timeout_ms,
+    decide_retry,
 )
-from goldcrestmoor.request.upstream_choice import Choice, choose_upstream
+from goldcrestmoor.request.upstream_choice import Candidate, choose_upstream
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 from goldcrestmoor.version.weights.load_plan import (
     Demand,
@@ -311,16 +311,16 @@
 
 class ReadinessTest(unittest.TestCase):
     def setUp(self):
-        self.readiness = Readiness("a")
+        self.readiness = ReadinessMonitor("a")
 
-    def check(self, hears_store, *views, has_other_zones=True):
-        views = [PeerView(zone, hears) for zone, hears in views]
-        return self.readiness.judge(hears_store, views, has_other_zones)
+    def check(self, reaches_store, *views, has_other_zones=True):
+        views = [PeerStatus(zone, hears) for zone, hears in views]
+        return self.readiness.update(reaches_store, views, has_other_zones)
 
-    def wants(self, hears_store, *views, has_other_zones=True):
+    def wants(self, reaches_store, *views, has_other_zones=True):
         """Return the judgement after two checks that saw the same."""
-        self.check(hears_store, *views, has_other_zones=has_other_zones)
-        return self.check(hears_store, *views, has_other_zones=has_other_zones)
+        self.check(reaches_store, *views, has_other_zones=has_other_zones)
+        return self.check(reaches_store, *views, has_other_zones=has_other_zones)
 
     def test_a_host_that_hears_the_store_takes_callers(self):
         self.assertTrue(self.wants(True))
@@ -351,13 +351,13 @@
 
 class DetourTest(unittest.TestCase):
     VIEWS = (
-        PeerView("a", False, "10.1.0.1"),
-        PeerView("b", True, "10.2.0.1"),
-        PeerView("a", True, "10.1.0.2"),
+        PeerStatus("a", False, "10.1.0.1"),
+        PeerStatus("b", True, "10.2.0.1"),
+        PeerStatus("a", True, "10.1.0.2"),
     )
 
-    def choose(self, views=VIEWS, refused_age_ms=None):
-        view = choose_detour("a", views, refused_age_ms)
+    def choose(self, views=VIEWS, rejection_age_ms=None):
+        view = choose_relay("a", views, rejection_age_ms)
         return view and view.address
 
     def test_calls_go_by_a_host_of_the_same_zone_that_hears_the_store(self):
@@ -369,8 +369,8 @@
         self.assertIsNone(self.choose(()))
 
     def test_a_host_that_the_store_turns_away_does_not_go_round_it(self):
-        self.assertIsNone(self.choose(refused_age_ms=100))
-        self.assertEqual(self.choose(refused_age_ms=60_000), "10.1.0.2")
+        self.assertIsNone(self.choose(rejection_age_ms=100))
+        self.assertEqual(self.choose(rejection_age_ms=60_000), "10.1.0.2")
 
 
 class OrderLogTest(unittest.TestCase):
@@ -391,7 +391,7 @@
         "has_failed": False,
         **fields,
     }
-    return Choice(name=name, in_flight=in_flight, **fields)
+    return Candidate(name=name, in_flight=in_flight, **fields)
 
 
 class UpstreamChoiceTest(unittest.TestCase):
@@ -419,33 +419,35 @@
 
 class SendAgainTest(unittest.TestCase):
     def test_a_lost_answer_of_a_repeatable_request_is_tried_elsewhere(self):
-        decision = after_try(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 1, 2, 500, True)
+        decision = decide_retry(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 1, 2, 500, True)
         self.assertEqual(decision, SendAgain())
 
     def test_a_request_that_may_run_once_ends_with_what_is_known(self):
-        decision = after_try(Ran.UNKNOWN, RetryPolicy.NEVER, 1, 3, 500, True)
+        decision = decide_retry(Ran.UNKNOWN, RetryPolicy.NEVER, 1, 3, 500, True)
         self.assertEqual(decision, GiveUp(ErrorKind.UPSTREAM_FAILED, 0))
 
     def test_a_request_that_surely_did_not_run_goes_on(self):
-        decision = after_try(Ran.NOT_RUN, RetryPolicy.NEVER, 0, 1, 500, True)
+        decision = decide_retry(Ran.NOT_RUN, RetryPolicy.NEVER, 0, 1, 500, True)
         self.assertEqual(decision, SendAgain())
 
     def test_full_upstreams_are_a_refusal_at_once(self):
-        decision = after_try(Ran.NOT_RUN, RetryPolicy.IDEMPOTENT, 0, 2, 500, False)
+        decision = decide_retry(Ran.NOT_RUN, RetryPolicy.IDEMPOTENT, 0, 2, 500, False)
         self.assertEqual(decision.kind, ErrorKind.OVERLOADED)
 
     def test_no_more_upstreams_run_it_than_the_route_allows(self):
-        decision = after_try(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 2, 2, 500, True)
+        decision = decide_retry(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 2, 2, 500, True)
         self.assertEqual(decision.kind, ErrorKind.UPSTREAM_FAILED)
 
     def test_the_first_try_leaves_time_for_the_second(self):
-        first = try_bound_ms(RetryPolicy.IDEMPOTENT, 0, 2, 800, 192, True)
+        first = attempt_timeout_ms(RetryPolicy.IDEMPOTENT, 0, 2, 800, 192, True)
         self.assertLess(first, 400)
         self.assertGreaterEqual(first, 192)
         self.assertEqual(
-            try_bound_ms(RetryPolicy.IDEMPOTENT, 1, 2, 440, 192, True), 440
+            attempt_timeout_ms(RetryPolicy.IDEMPOTENT, 1, 2, 440, 192, True), 440
+        )
+        self.assertEqual(
+            attempt_timeout_ms(RetryPolicy.NEVER, 0, 2, 800, 192, True), 800
         )
-        self.assertEqual(try_bound_ms(RetryPolicy.NEVER, 0, 2, 800, 192, True), 800)
 
 
 if __name__ == "__main__":
--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -3,7 +3,11 @@
 import unittest
 
 from goldcrestmoor.adapters.table import Change
-from goldcrestmoor.process.directory import REAPPEAR_MS, Directory, ListedUpstream
+from goldcrestmoor.process.directory import (
+    REAPPEAR_MS,
+    ListedUpstream,
+    UpstreamDirectory,
+)
 from goldcrestmoor.process.metrics import Metrics
 from test._fleet import ManualClock
 
@@ -24,7 +28,7 @@
     def setUp(self):
         self.clock = ManualClock()
         self.heard_ms = self.clock.now_ms()
-        self.directory = Directory(
+        self.directory = UpstreamDirectory(
             clock=self.clock,
             decode=decode,
             metrics=Metrics(),
@@ -39,7 +43,7 @@
     def come_back(self):
         """The store answers again after an outage."""
         self.heard_ms = self.clock.now_ms()
-        self.directory.note_return()
+        self.directory.on_feed_recovered()
 
     async def hear_for(self, duration_ms):
         """Let time pass while the store answers."""
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -44,32 +44,32 @@
 
     async def test_a_holder_that_ended_is_followed_by_another(self):
         await self.feed(self.other)
-        self.assertFalse(self.other.is_free(DUTY))
+        self.assertFalse(self.other.is_claimable(DUTY))
         await self.holder.release_all()
         await self.feed(self.other)
-        self.assertTrue(self.other.is_free(DUTY))
+        self.assertTrue(self.other.is_claimable(DUTY))
         self.assertTrue(await self.other.claim(DUTY, DURATION_MS))
 
     async def test_a_host_that_is_back_knows_what_it_held(self):
         await self.feed(self.other)
-        self.assertFalse(self.other.was_held_here(DUTY))
+        self.assertFalse(self.other.was_last_held_here(DUTY))
         back = self.make_duties("host-a")
-        self.assertFalse(back.was_held_here(DUTY))
+        self.assertFalse(back.was_last_held_here(DUTY))
         await self.feed(back)
-        self.assertTrue(back.was_held_here(DUTY))
+        self.assertTrue(back.was_last_held_here(DUTY))
 
     async def test_the_time_of_an_outage_does_not_count_against_a_holder(self):
         await self.feed(self.other)
         self.table.is_down = True
         await self.clock.advance(7000)
-        self.assertFalse(self.other.is_free(DUTY))
+        self.assertFalse(self.other.is_claimable(DUTY))
         self.assertFalse(await self.other.claim(DUTY, DURATION_MS))
         # The feed says that the store is back just before it tells what changed.
-        self.other.note_return()
+        self.other.on_feed_recovered()
         self.table.is_down = False
-        self.assertFalse(self.other.is_free(DUTY))
+        self.assertFalse(self.other.is_claimable(DUTY))
         await self.clock.advance(LAPSE_MS)
-        self.assertTrue(self.other.is_free(DUTY))
+        self.assertTrue(self.other.is_claimable(DUTY))
 
     async def test_a_holder_comes_back_from_an_outage_before_the_others(self):
         for duties in (self.holder, self.other):
@@ -77,8 +77,8 @@
         self.table.is_down = True
         await self.clock.advance(7000)
         for duties in (self.holder, self.other):
-            duties.note_return()
+            duties.on_feed_recovered()
         self.table.is_down = False
-        self.assertFalse(self.other.is_free(DUTY))
+        self.assertFalse(self.other.is_claimable(DUTY))
         self.assertTrue(await self.holder.claim(DUTY, DURATION_MS))
         self.assertTrue(self.holder.holds(DUTY))
--- a/test/test_fair_queue.py
+++ b/test/test_fair_queue.py
@@ -93,7 +93,7 @@
         self.assertEqual([self.queue.pop() for _ in pushed], pushed)
 
     def test_the_plain_queue_refuses_nothing(self):
-        self.queue = self.make_queue(max_length=1, refuses_early=False)
+        self.queue = self.make_queue(max_length=1, rejects_early=False)
         for _ in range(3):
             self.push("a")
         self.assertEqual(len(self.queue), 3)
@@ -136,7 +136,7 @@
             self.queue.settle(entry, 10)
         self.assertEqual(self.queue.start_within_ms("a", 5000), 3000)
         self.assertGreater(self.queue.start_within_ms("a", 1000), 0)
-        plain = self.make_queue(refuses_early=False)
+        plain = self.make_queue(rejects_early=False)
         self.assertEqual(plain.start_within_ms("a", 5000), 5000)
 
     def test_a_halted_queue_shows_in_the_expected_wait(self):
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -46,7 +46,7 @@
             store=self.store,
             table="leases",
             on_changes=lambda changes: None,
-            on_return=self.note_return,
+            on_return=self.on_feed_recovered,
             **options,
         )
         task = asyncio.create_task(follower.run())
@@ -54,7 +54,7 @@
         await self.clock.advance(200)
         return follower
 
-    def note_return(self):
+    def on_feed_recovered(self):
         self.returns += 1
 
     async def test_a_slow_store_is_not_taken_for_one_that_was_away(self):
--- a/test/test_health.py
+++ b/test/test_health.py
@@ -122,7 +122,7 @@
     def test_retries_are_a_tenth_of_requests_and_a_floor(self):
         allowed = 0
         for _ in range(1000):
-            self.budget.note_request("lm-1")
+            self.budget.record_request("lm-1")
             allowed += self.budget.try_retry("lm-1")
         self.assertIn(allowed, (100, 101))
 
@@ -135,6 +135,6 @@
 
     def test_no_burst_is_saved_up(self):
         for _ in range(10_000):
-            self.budget.note_request("lm-1")
+            self.budget.record_request("lm-1")
         allowed = sum(self.budget.try_retry("lm-1") for _ in range(1000))
         self.assertLessEqual(allowed, retry_budget.MAX_SAVED_RETRIES + 1)
--- a/test/test_idempotency_keys.py
+++ b/test/test_idempotency_keys.py
@@ -8,11 +8,11 @@
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.claim_sweeper import RETENTION_MS, ClaimSweeper
-from goldcrestmoor.request.claims import HOLD_MS, Claims
-from goldcrestmoor.request.idempotency_keys import Keys
+from goldcrestmoor.request.claims import HOLD_MS, ClaimedKeys
+from goldcrestmoor.request.idempotency_keys import IdempotencyKeys
 from goldcrestmoor.request.key_mint import KeyMint
-from goldcrestmoor.request.minted_keys import BoundKeys
-from goldcrestmoor.request.outcome_cache import KeyMemory
+from goldcrestmoor.request.minted_keys import MintedKeys
+from goldcrestmoor.request.outcome_cache import OutcomeCache
 from test import _common, _request_fakes as fakes
 from test._common import eventually
 from test.standins import app as standin
@@ -92,7 +92,7 @@
         clock = self.clock_by_host[host]
         applications = self.make_applications()
         applications._clock = clock
-        memory = KeyMemory(clock=clock, settings=settings)
+        memory = OutcomeCache(clock=clock, settings=settings)
         self.addAsyncCleanup(memory.close)
         mint = KeyMint(
             clock=clock, host_id=host, incarnation=incarnation, secret="secret"
@@ -104,14 +104,14 @@
             "links": self.network.links(host),
             "settings": settings,
         }
-        bound = BoundKeys(
+        bound = MintedKeys(
             mint=mint, membership=self.membership, lease=self.lease, **common
         )
-        claims = Claims(
+        claims = ClaimedKeys(
             host_id=host, incarnation=incarnation, table=self.table, **common
         )
         self.claims_by_host[host] = claims
-        return Keys(mint=mint, bound=bound, claims=claims)
+        return IdempotencyKeys(mint=mint, bound=bound, claims=claims)
 
     async def send(self, key, host=0, timeout_ms=60_000, **options):
         host = HOSTS[host]
--- a/test/test_job_supervisor.py
+++ b/test/test_job_supervisor.py
@@ -30,10 +30,10 @@
     def holds(self, name):
         return False
 
-    def is_free(self, name):
+    def is_claimable(self, name):
         return not self.claims_ms
 
-    def was_held_here(self, name):
+    def was_last_held_here(self, name):
         return self.was_held
 
     async def claim(self, name, duration_ms):
--- a/test/test_language.py
+++ b/test/test_language.py
@@ -22,7 +22,7 @@
 from goldcrestmoor.language.explain import Explainer
 from goldcrestmoor.language.parser import parse
 from goldcrestmoor.language.routes import register_routes
-from goldcrestmoor.process.decision_log import Decisions
+from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.version.configuration.document import (
     Configuration,
     VersionChangePolicy,
@@ -170,8 +170,8 @@
     def _make_executor(self):
         self.explainers = []
         for name, host in self.world.hosts.items():
-            decisions = Decisions(self.world.clock)
-            decisions.note("admission", "r1", f"Admitted by {name}.")
+            decisions = DecisionLog(self.world.clock)
+            decisions.record("admission", "r1", f"Admitted by {name}.")
             explainer = Explainer(
                 clock=self.world.clock,
                 decisions=decisions,
--- a/test/test_leases.py
+++ b/test/test_leases.py
@@ -45,7 +45,7 @@
     async def test_a_holder_that_a_slow_store_holds_up_is_not_followed(self):
         """Reads take a quarter of a second; a renewal waits behind others for more."""
         await self.take(self.a)
-        _, waiting = self.make_client("host-c", answer_ms=lambda: 240)
+        _, waiting = self.make_client("host-c", latency_ms=lambda: 240)
         self.a_clock.thawed.clear()
         # The last renewal before the freeze may have landed since the lease was taken.
         self.assertIsNone(await waiting.acquire("duty", DURATION_MS))
@@ -143,4 +143,4 @@
         await self.a.release_all()
         self.assertFalse(lease.holds())
         new = await self.b.acquire("duty", DURATION_MS)
-        self.assertTrue(new.holds() and new.handed_over)
+        self.assertTrue(new.holds() and new.was_released)
--- a/test/test_order_log.py
+++ b/test/test_order_log.py
@@ -28,7 +28,7 @@
     def now_ms(self):
         return self.clock.now_ms()
 
-    def answer_ms(self):
+    def latency_ms(self):
         return self.read_ms
 
     async def get(self, table, key):
--- a/test/test_outcome_cache.py
+++ b/test/test_outcome_cache.py
@@ -5,8 +5,8 @@
 
 from goldcrestmoor.clock import Clock
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.apps import AppAnswer
-from goldcrestmoor.request.outcome_cache import KeyMemory
+from goldcrestmoor.request.apps import AppResponse
+from goldcrestmoor.request.outcome_cache import OutcomeCache
 from test import _common
 
 BUDGET_BYTES = 32_000_000
@@ -19,11 +19,11 @@
     async def test_a_full_memory_fits_into_the_budget(self):
         clock = Clock()
         settings = _common.make_settings().idempotency
-        memory = KeyMemory(clock=clock, settings=settings)
+        memory = OutcomeCache(clock=clock, settings=settings)
         self.addAsyncCleanup(memory.close)
 
         async def answer():
-            return AppAnswer(201, ((b"date", bytes(30)),), bytes(BODY_BYTES))
+            return AppResponse(201, ((b"date", bytes(30)),), bytes(BODY_BYTES))
 
         tracemalloc.start()
         self.addCleanup(tracemalloc.stop)
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.request import app_routes, completion_routes
 from goldcrestmoor.request.authentication import Authenticator
-from goldcrestmoor.request.idempotency_keys import Keys
+from goldcrestmoor.request.idempotency_keys import IdempotencyKeys
 from test import _common, _request_fakes as fakes
 from test.standins import app as app_standin, engine as engine_standin
 from test.test_apps import AppsTestCase
@@ -45,7 +45,7 @@
         return json.loads((await self.ask(*args, **options)).body)["code"]
 
 
-class RecordingKeys(Keys):
+class RecordingKeys(IdempotencyKeys):
     """Keys that only say what they were asked."""
 
     def __init__(self, applications):
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.token_chunk import Piece, Segment
+from goldcrestmoor.request.token_chunk import Segment, TokenChunk
 from goldcrestmoor.version.configuration.document import VersionChangePolicy
 from goldcrestmoor.version.steps import step_holder, step_records, step_state
 from goldcrestmoor.version.steps.step_rows import make_source
@@ -21,16 +21,16 @@
 from test._step_fakes import ACCOUNT, ZONE, FakeFleet, make_spec
 
 
-def stream(*pieces, gate=None, reached=None):
+def stream(*chunks, gate=None, reached=None):
     """Return a script of an engine that waits for a gate before its last piece."""
 
     async def run(call):
-        for number, piece in enumerate(pieces):
-            if gate is not None and number == len(pieces) - 1:
+        for number, chunk in enumerate(chunks):
+            if gate is not None and number == len(chunks) - 1:
                 if reached is not None:
                     reached.set()
                 await gate.wait()
-            yield piece
+            yield chunk
 
     return run
 
@@ -172,8 +172,8 @@
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         gate = asyncio.Event()
         fleet.engines.script_by_seed[0] = [
-            stream(Piece("first", 1, 1, "e", "stop")),
-            stream(Piece("second", 1, 1, "e", "stop"), gate=gate),
+            stream(TokenChunk("first", 1, 1, "e", "stop")),
+            stream(TokenChunk("second", 1, 1, "e", "stop"), gate=gate),
         ]
         spec = make_spec(groups=1, samples=1)
         await a.front.submit(spec)
@@ -266,7 +266,7 @@
         fleet = self.make_fleet("a", "b")
         fleet.platform.out = True
         gate = asyncio.Event()
-        wait = stream(Piece("x", 1, 1, "e", "stop"), gate=gate)
+        wait = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[2] = [wait]
         fleet.holder_of = {"a": "a", "b": "a"}
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
@@ -292,7 +292,7 @@
         fleet = self.make_fleet("a", "b")
         fleet.holder_of = {"a": "a", "b": "a"}
         gate = asyncio.Event()
-        waiting = stream(Piece("x", 1, 1, "e", "stop"), gate=gate)
+        waiting = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[0] = [waiting]
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         with mock.patch.object(step_holder, "UNWANTED_MS", 1):
@@ -309,7 +309,7 @@
         fleet.platform.out = True
         fleet.holder_of = {"a": "a", "b": "a"}
         gate = asyncio.Event()
-        waiting = stream(Piece("x", 1, 1, "e", "stop"), gate=gate)
+        waiting = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[2] = [waiting]
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1))
@@ -340,8 +340,8 @@
         fleet = self.make_fleet("a", "b")
         fleet.holder_of = {"a": "a", "b": "a"}
         gate, reached = asyncio.Event(), asyncio.Event()
-        pieces = Piece("half", 2, 1, "e"), Piece("", 1, 1, "e", "stop")
-        script = [stream(*pieces, gate=gate, reached=reached)]
+        chunks = TokenChunk("half", 2, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
+        script = [stream(*chunks, gate=gate, reached=reached)]
         fleet.engines.script_by_seed[0] = script
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -421,7 +421,7 @@
     async def test_a_sample_goes_stale_in_flight(self):
         fleet = self.make_fleet("a", "b")
         gate, reached = asyncio.Event(), asyncio.Event()
-        old = Piece("old", 1, 1, "e"), Piece("", 1, 1, "e", "stop")
+        old = TokenChunk("old", 1, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
         fleet.engines.script_by_seed[0] = [stream(*old, gate=gate, reached=reached)]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -437,7 +437,7 @@
         fleet = self.make_fleet("a")
         a = fleet.host_by_id["a"]
         gate = asyncio.Event()
-        script = stream(Piece("x", 1, 1, "e", "stop"), gate=gate)
+        script = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[0] = [script]
         await a.front.submit(make_spec(groups=1, samples=1))
         waiting = asyncio.create_task(a.pull("s1", version=1))
@@ -450,8 +450,8 @@
 
     async def test_the_oldest_segment_counts(self):
         fleet = self.make_fleet("a")
-        pieces = Piece("a", 1, 1, "e"), Piece("b", 1, 4, "e", "stop")
-        fleet.engines.script_by_seed[0] = [stream(*pieces)]
+        chunks = TokenChunk("a", 1, 1, "e"), TokenChunk("b", 1, 4, "e", "stop")
+        fleet.engines.script_by_seed[0] = [stream(*chunks)]
         fleet.engines.version = 4
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1, base_version=1))
@@ -460,12 +460,12 @@
 
     async def test_a_swap_in_mid_stream_lists_its_segments(self):
         fleet = self.make_fleet("a")
-        pieces = [
-            Piece("a", 1, 1, "e"),
-            Piece("b", 2, 1, "e"),
-            Piece("c", 1, 2, "e", "stop"),
+        chunks = [
+            TokenChunk("a", 1, 1, "e"),
+            TokenChunk("b", 2, 1, "e"),
+            TokenChunk("c", 1, 2, "e", "stop"),
         ]
-        fleet.engines.script_by_seed[0] = [stream(*pieces)]
+        fleet.engines.script_by_seed[0] = [stream(*chunks)]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         got, _ = await a.collect("s1", version=2)
@@ -474,7 +474,7 @@
 
     async def test_a_stream_that_states_no_version_gives_no_sample(self):
         fleet = self.make_fleet("a", bound=9)
-        script = stream(Piece("x", 1, 0, "e"), Piece("y", 1, 1, "e", "stop"))
+        script = stream(TokenChunk("x", 1, 0, "e"), TokenChunk("y", 1, 1, "e", "stop"))
         fleet.engines.script_by_seed[0] = [script]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -487,7 +487,7 @@
             "a", bound=5, on_version_change=VersionChangePolicy.CANCEL
         )
         gate, reached = asyncio.Event(), asyncio.Event()
-        old = Piece("old", 1, 1, "e"), Piece("", 1, 1, "e", "stop")
+        old = TokenChunk("old", 1, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
         fleet.engines.script_by_seed[0] = [stream(*old, gate=gate, reached=reached)]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -501,10 +501,10 @@
     async def test_copies_that_both_finish_give_one_sample(self):
         fleet = self.make_fleet("a", "b")
         gate = asyncio.Event()
-        slow = Piece("slow", 1, 1, "e1"), Piece(" end", 1, 1, "e1", "stop")
+        slow = TokenChunk("slow", 1, 1, "e1"), TokenChunk(" end", 1, 1, "e1", "stop")
         fleet.engines.script_by_seed[2] = [
             stream(*slow, gate=gate),
-            stream(Piece(" fast", 5, 1, "e2", "stop"), gate=gate),
+            stream(TokenChunk(" fast", 5, 1, "e2", "stop"), gate=gate),
         ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1))
@@ -530,7 +530,7 @@
             raise ServiceError(ErrorKind.NO_UPSTREAM, retry_after_ms=1)
             yield
 
-        fleet.engines.script_by_seed[0] = [fail, stream(Piece("cut", 1, 1, "e"))]
+        fleet.engines.script_by_seed[0] = [fail, stream(TokenChunk("cut", 1, 1, "e"))]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         got, _ = await a.collect("s1")
@@ -541,12 +541,12 @@
         fleet = self.make_fleet("a")
 
         async def fail(call):
-            yield Piece("half ", 40, 1, "e")
+            yield TokenChunk("half ", 40, 1, "e")
             raise ServiceError(ErrorKind.UPSTREAM_FAILED)
 
         fleet.engines.script_by_seed[0] = [
             fail,
-            stream(Piece("whole", 1, 1, "e", "stop")),
+            stream(TokenChunk("whole", 1, 1, "e", "stop")),
         ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
--- a/test/test_store_connectivity.py
+++ b/test/test_store_connectivity.py
@@ -14,7 +14,7 @@
     STRAIGHT_MS,
     TURN_MS,
     HostRow,
-    StoreReach,
+    StoreConnectivity,
 )
 from test._fleet import ManualClock, settle
 
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.ways = []
-        self.is_going_round = False
+        self.is_relayed = False
         self.is_reached = False
         self.refused_ms = None
         self.answered = asyncio.Event()
@@ -32,17 +32,17 @@
     async def transact(self, checks, writes):
         return None
 
-    def refused_age_ms(self):
+    def rejection_age_ms(self):
         return self.refused_ms
 
-    def go_round(self, address, port, prefix):
+    def use_relay(self, address, port, prefix):
         self.ways.append(address)
-        self.is_going_round = True
+        self.is_relayed = True
 
-    async def try_straight(self):
-        self.is_going_round = not self.is_reached
+    async def probe_direct(self):
+        self.is_relayed = not self.is_reached
 
-    async def pass_on(self, *call):
+    async def relay(self, *call):
         await self.answered.wait()
         return call
 
@@ -52,7 +52,7 @@
         self.clock = ManualClock()
         self.store = FakeStore()
         self.age_ms = 0
-        self.reach = StoreReach(
+        self.reach = StoreConnectivity(
             clock=self.clock,
             http=SimpleNamespace(request=self.answer),
             store=self.store,
@@ -89,34 +89,34 @@
         self.age_ms = 1500
         await self.watch()
         self.age_ms = 100
-        self.assertFalse(self.reach.hears_straight())
+        self.assertFalse(self.reach.reaches_store_directly())
         self.store.is_reached = True
         await self.clock.advance(STRAIGHT_MS + CHECK_MS)
-        self.assertTrue(self.reach.hears_straight())
-        self.assertTrue(self.reach.wants_callers())
+        self.assertTrue(self.reach.reaches_store_directly())
+        self.assertTrue(self.reach.accepts_callers())
 
     async def test_a_host_that_is_turned_away_stays(self):
         self.age_ms, self.store.refused_ms = 1500, 200
         await self.watch()
         await self.clock.advance(TURN_MS)
         self.assertEqual(self.store.ways, [])
-        self.assertFalse(self.reach.wants_callers())
+        self.assertFalse(self.reach.accepts_callers())
 
     async def test_calls_are_passed_on_up_to_a_bound_and_never_further(self):
         calls = [
-            asyncio.create_task(self.reach.pass_on("GET", "/x", [], b""))
+            asyncio.create_task(self.reach.relay("GET", "/x", [], b""))
             for _ in range(MAX_PASSED_ON)
         ]
         await settle()
         await self.check_refused()
         self.store.answered.set()
         await asyncio.gather(*calls)
-        await self.reach.pass_on("GET", "/x", [], b"")
+        await self.reach.relay("GET", "/x", [], b"")
         # Two hosts that go round would send each other in circles.
-        self.store.is_going_round = True
+        self.store.is_relayed = True
         await self.check_refused()
 
     async def check_refused(self):
         with self.assertRaises(ServiceError) as caught:
-            await self.reach.pass_on("GET", "/x", [], b"")
+            await self.reach.relay("GET", "/x", [], b"")
         self.assertIs(caught.exception.kind, ErrorKind.OVERLOADED)
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.broadcast import FAN_OUT, Spread
+from goldcrestmoor.process.broadcast import FAN_OUT, TreeBroadcast
 from goldcrestmoor.process.leases import LeaseClient
 from goldcrestmoor.process.metrics import Metrics
 from goldcrestmoor.util import TaskGroup
@@ -109,12 +109,12 @@
         clock = HostClock(self.clock)
         links = FakeLinks(self.network, host_id, clock)
         table = self.table.client(clock)
-        spread = Spread(links=links, membership=self, host_id=host_id)
+        broadcast = TreeBroadcast(links=links, membership=self, host_id=host_id)
         engine_versions = EngineVersionTable(
-            links=links, spread=spread, configuration=self.configuration
+            links=links, broadcast=broadcast, configuration=self.configuration
         )
         versions = PublishedVersions(
-            clock=clock, table=table, links=links, spread=spread
+            clock=clock, table=table, links=links, broadcast=broadcast
         )
         leases = LeaseClient(clock=clock, table=table, host_id=host_id)
         self.addAsyncCleanup(leases.close)
@@ -122,7 +122,7 @@
         orders = WeightUpdateManager(
             clock=clock,
             leases=leases,
-            ownership=SimpleNamespace(preferred=lambda *_: [*self.hosts_by_id]),
+            ownership=SimpleNamespace(preferred_hosts=lambda *_: [*self.hosts_by_id]),
             configuration=self.configuration,
             versions=versions,
             engine_versions=engine_versions,
@@ -157,7 +157,7 @@
         await self.publish(1)
         await self.wait_until(lambda: self.all_run(1))
         for host in hosts:
-            host.versions._spread = SimpleNamespace(start=lambda message: None)
+            host.versions._broadcast = SimpleNamespace(broadcast=lambda message: None)
         other = next(h for h in self.hosts_by_id if not self.drives(h))
         await self.publish(2, other)
         await self.wait_until(lambda: self.all_run(2), SPREAD_MS)
@@ -309,12 +309,12 @@
         def make(host_id):
             def send(target, message):
                 sent.append((host_id, target))
-                make(target).pass_on(message, message.targets)
+                make(target).forward(message, message.targets)
 
             links = SimpleNamespace(send=send)
-            return Spread(links=links, membership=membership, host_id=host_id)
+            return TreeBroadcast(links=links, membership=membership, host_id=host_id)
 
-        make("host-7").start(VersionPublished("lm", 1))
+        make("host-7").broadcast(VersionPublished("lm", 1))
         receivers = [target for _, target in sent]
         self.assertEqual(sorted(receivers), sorted(set(ids) - {"host-7"}))
         senders = [sender for sender, _ in sent]
