--- a/goldcrestmoor/version/configuration/cut_off.py
+++ b/goldcrestmoor/version/configuration/cut_off.py
@@ -15,7 +15,7 @@
 )
 
 
-class Place(msgspec.Struct, frozen=True):
+class UpstreamLocation(msgspec.Struct, frozen=True):
     """Where an upstream is.
 
     :param pool: its pool's name.
@@ -36,7 +36,7 @@
     """
 
     accounts_by_name: dict[str, Account] = {}
-    places_by_upstream: dict[str, Place] = {}
+    places_by_upstream: dict[str, UpstreamLocation] = {}
 
 
 class Proposal(msgspec.Struct, frozen=True):
@@ -57,7 +57,7 @@
     token: str
     base: int
     accounts_by_name: dict[str, Account | None] = {}
-    places_by_upstream: dict[str, Place | None] = {}
+    places_by_upstream: dict[str, UpstreamLocation | None] = {}
     number: int = 0
 
     def is_empty(self):
@@ -73,12 +73,12 @@
     accounts = (a for a in configuration.accounts_by_name.values() if a.cut_off.serve)
     upstreams = configuration.upstreams_by_name.values()
     return CutOffPart(
-        {account.name: _under_cut_off_terms(account) for account in accounts},
-        {u.name: Place(u.pool, u.address, u.port) for u in upstreams},
+        {account.name: _with_cut_off_terms(account) for account in accounts},
+        {u.name: UpstreamLocation(u.pool, u.address, u.port) for u in upstreams},
     )
 
 
-def propose(token, base, old, new):
+def make_proposal(token, base, old, new):
     """Return what lapsed hosts must know of before a new part comes into force.
 
     :param token: the token of the write that will bring it.
@@ -90,12 +90,12 @@
     return Proposal(
         token,
         base,
-        _changed(old.accounts_by_name, new.accounts_by_name),
-        _changed(old.places_by_upstream, new.places_by_upstream),
+        _changed_items(old.accounts_by_name, new.accounts_by_name),
+        _changed_items(old.places_by_upstream, new.places_by_upstream),
     )
 
 
-def narrow(part, proposal):
+def intersect(part, proposal):
     """Return what is allowed both by a part and by a proposal.
 
     :param part: a :class:`CutOffPart`.
@@ -103,9 +103,11 @@
     """
     accounts = dict(part.accounts_by_name)
     for name in proposal.accounts_by_name.keys() & accounts.keys():
-        both = _stricter_account(accounts.pop(name), proposal.accounts_by_name[name])
-        if both is not None:
-            accounts[name] = both
+        stricter = _stricter_account(
+            accounts.pop(name), proposal.accounts_by_name[name]
+        )
+        if stricter is not None:
+            accounts[name] = stricter
     places = {
         name: place
         for name, place in part.places_by_upstream.items()
@@ -123,7 +125,7 @@
     """
     part = cut_off_part(configuration)
     for proposal in proposals:
-        part = narrow(part, proposal)
+        part = intersect(part, proposal)
     upstreams = {
         name: upstream
         for name, upstream in configuration.upstreams_by_name.items()
@@ -136,11 +138,11 @@
     )
 
 
-def _changed(old, new):
+def _changed_items(old, new):
     return {name: new.get(name) for name, item in old.items() if new.get(name) != item}
 
 
-def _under_cut_off_terms(account):
+def _with_cut_off_terms(account):
     return msgspec.structs.replace(
         account,
         share=account.cut_off.share,
@@ -148,33 +150,33 @@
     )
 
 
-def _stricter_account(one, other):
-    if other is None:
+def _stricter_account(first, second):
+    if second is None:
         return None
     # Nobody can tell which of two tokens, kinds or zones holds by now, and no
     # choice would be right under both.
-    if (one.kind, one.token_hash, one.zone) != (
-        other.kind,
-        other.token_hash,
-        other.zone,
+    if (first.kind, first.token_hash, first.zone) != (
+        second.kind,
+        second.token_hash,
+        second.zone,
     ):
         return None
     terms = msgspec.structs.replace(
-        one.cut_off,
-        share=min(one.share, other.share),
-        staleness_bound=min(one.staleness_bound, other.staleness_bound),
+        first.cut_off,
+        share=min(first.share, second.share),
+        staleness_bound=min(first.staleness_bound, second.staleness_bound),
     )
-    narrowed = msgspec.structs.replace(
-        one,
-        pools=tuple(pool for pool in one.pools if pool in other.pools),
-        delivery=_stricter_delivery(one.delivery, other.delivery),
+    merged = msgspec.structs.replace(
+        first,
+        pools=tuple(pool for pool in first.pools if pool in second.pools),
+        delivery=_stricter_delivery(first.delivery, second.delivery),
         cut_off=terms,
     )
-    return _under_cut_off_terms(narrowed)
+    return _with_cut_off_terms(merged)
 
 
-def _stricter_delivery(one, other):
-    rule = one.on_version_change
-    if rule != other.on_version_change:
+def _stricter_delivery(first, second):
+    rule = first.on_version_change
+    if rule != second.on_version_change:
         rule = VersionChangePolicy.CANCEL
-    return DeliveryRules(hedge=one.hedge and other.hedge, on_version_change=rule)
+    return DeliveryRules(hedge=first.hedge and second.hedge, on_version_change=rule)
--- a/goldcrestmoor/version/configuration/driver.py
+++ b/goldcrestmoor/version/configuration/driver.py
@@ -7,11 +7,11 @@
 
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.version.configuration.cut_off import cut_off_part, propose
+from goldcrestmoor.version.configuration.cut_off import cut_off_part, make_proposal
 from goldcrestmoor.version.configuration.messages import CutOffPrepared, PrepareCutOff
 from goldcrestmoor.version.configuration.store import (
     ConfigurationStore,
-    Overtaken,
+    SupersededWrite,
     Written,
     new_token,
 )
@@ -41,13 +41,13 @@
 
     :param reason: why.
     :param version: the platform's current version, or the newest known here.
-    :param silent_hosts: the hosts that did not acknowledge new cut-off terms.
+    :param unresponsive_hosts: the hosts that did not acknowledge new cut-off terms.
     :param kind: the kind of error that it stands for.
     """
 
     reason: str
     version: int
-    silent_hosts: tuple[str, ...] = ()
+    unresponsive_hosts: tuple[str, ...] = ()
     kind: ErrorKind = ErrorKind.CONFIG_REFUSED
 
 
@@ -121,15 +121,15 @@
         started_ms = self._clock.now_ms()
         deadline = Deadline.after(self._clock, self._settings.answer_timeout_ms)
         try:
-            written = await self._make(base_version, apply, deadline)
+            written = await self._make_change(base_version, apply, deadline)
         except ServiceError as e:
             if e.kind == ErrorKind.CONFIG_UNKNOWN:
                 return Unknown()
             return Refused(e.message, self._lease.version, kind=e.kind)
         match written:
             case Written():
-                return await self._await_force(written, started_ms, deadline)
-            case Overtaken(version=version):
+                return await self._wait_until_effective(written, started_ms, deadline)
+            case SupersededWrite(version=version):
                 return _conflict(version)
         return written
 
@@ -140,7 +140,7 @@
         """
         return await self._fetch(await self._store.read_head())
 
-    async def _make(self, base_version, apply, deadline):
+    async def _make_change(self, base_version, apply, deadline):
         base = await self._store.read_head()
         if base_version is not None and base_version != base.version:
             return _conflict(base.version)
@@ -152,20 +152,22 @@
         old = await self._fetch(base)
         new = apply(old)
         token = new_token()
-        proposal = propose(token, base.version, cut_off_part(old), cut_off_part(new))
-        guards = ()
+        proposal = make_proposal(
+            token, base.version, cut_off_part(old), cut_off_part(new)
+        )
+        preconditions = ()
         if not proposal.is_empty():
-            proposal, guard = await self._store.propose(proposal)
-            guards = (guard,)
-            silent = await self._prepare(proposal, deadline)
-            if silent:
-                reason = f"Cut-off terms not acknowledged by {', '.join(silent)}."
-                return Refused(reason, base.version, silent)
+            proposal, precondition = await self._store.save_proposal(proposal)
+            preconditions = (precondition,)
+            unresponsive = await self._prepare_hosts(proposal, deadline)
+            if unresponsive:
+                reason = f"Cut-off terms not acknowledged by {', '.join(unresponsive)}."
+                return Refused(reason, base.version, unresponsive)
         # After this point too little time would be left to see it in force.
-        write_by = Deadline(self._clock, deadline.at_ms - self._force_ms())
+        write_by = Deadline(self._clock, deadline.at_ms - self._propagation_ms())
         if write_by.passed():
             return Refused("There was too little time left to make it.", base.version)
-        return await self._store.write(base, new, token, write_by, guards)
+        return await self._store.write(base, new, token, write_by, preconditions)
 
     async def _fetch(self, head):
         if head.version == self._lease.version and self._lease.ready():
@@ -173,50 +175,52 @@
         fetched = await self._store.fetch(head)
         return msgspec.structs.replace(fetched, version=head.version)
 
-    def _force_ms(self):
+    def _propagation_ms(self):
         return self._settings.lease_ms + self._settings.lease_margin_ms
 
-    async def _await_force(self, written, started_ms, deadline):
+    async def _wait_until_effective(self, written, started_ms, deadline):
         # Every read that was sent before the write took effect has run out by
         # then, so that each host has adopted this version or has lapsed.
-        in_force_at = Deadline(self._clock, written.known_at_ms + self._force_ms())
-        if in_force_at.at_ms > deadline.at_ms:
+        effective_at = Deadline(
+            self._clock, written.known_at_ms + self._propagation_ms()
+        )
+        if effective_at.at_ms > deadline.at_ms:
             return Unknown()
-        while not in_force_at.passed():
-            await self._clock.sleep_ms(in_force_at.remaining_ms())
+        while not effective_at.passed():
+            await self._clock.sleep_ms(effective_at.remaining_ms())
         log.info("Version %d is in force.", written.version)
         return Accepted(written.version, self._clock.now_ms() - started_ms)
 
-    async def _prepare(self, proposal, deadline):
+    async def _prepare_hosts(self, proposal, deadline):
         """Have every live host acknowledge a proposal; return the silent ones."""
         answer_by_host = {}
         for _ in range(MAX_PREPARE_ROUNDS):
-            waiting = await self._hosts_to_ask(answer_by_host)
-            if not waiting or deadline.remaining_ms() < self._force_ms():
-                return waiting
+            pending = await self._unprepared_hosts(answer_by_host)
+            if not pending or deadline.remaining_ms() < self._propagation_ms():
+                return pending
             answers = await asyncio.gather(
-                *(self._prepare_host(host_id, proposal) for host_id in waiting)
+                *(self._prepare_host(host_id, proposal) for host_id in pending)
             )
-            pairs = list(zip(waiting, answers, strict=True))
-            silent = tuple(host_id for host_id, answer in pairs if answer is None)
-            if silent:
-                return silent
+            pairs = list(zip(pending, answers, strict=True))
+            unresponsive = tuple(host_id for host_id, answer in pairs if answer is None)
+            if unresponsive:
+                return unresponsive
             answer_by_host.update(pairs)
-        return await self._hosts_to_ask(answer_by_host)
+        return await self._unprepared_hosts(answer_by_host)
 
-    async def _hosts_to_ask(self, answer_by_host):
+    async def _unprepared_hosts(self, answer_by_host):
         """Return the live hosts that have not acknowledged as they are now."""
         records = list(self._membership.live())
         listed = await self._host_list.fetch()
         hosts = {host.id for host in listed if host.kind == HOST_KIND}
         hosts |= {record.id for record in records} | {self._host_id}
-        waiting = hosts - set(answer_by_host)
+        pending = hosts - set(answer_by_host)
         # A host that was restarted since has forgotten its acknowledgement.
         for host_id, incarnation in _incarnations(records, answer_by_host):
             answer = answer_by_host.get(host_id)
             if answer is None or answer.incarnation < incarnation:
-                waiting.add(host_id)
-        return tuple(sorted(waiting))
+                pending.add(host_id)
+        return tuple(sorted(pending))
 
     async def _prepare_host(self, host_id, proposal):
         if host_id == self._host_id:
@@ -247,8 +251,8 @@
     for record in records:
         yield record.id, record.incarnation
     for answer in answer_by_host.values():
-        for given in answer.given_to:
-            yield given.host_id, given.incarnation
+        for recipient in answer.given_to:
+            yield recipient.host_id, recipient.incarnation
 
 
 def _conflict(version):
--- a/goldcrestmoor/version/configuration/lease.py
+++ b/goldcrestmoor/version/configuration/lease.py
@@ -27,11 +27,11 @@
 
 POLL_JITTER = 0.2
 PEER_TIMEOUT_MS = 500
-PEERS_ASKED = 3
+MAX_PEERS_QUERIED = 3
 MAX_PROPOSALS = 64
-MAX_GIVEN = 1024
-GIVEN_LIFETIME_MS = 600_000
-NOTHING_ADOPTED = -1
+MAX_RECIPIENTS = 1024
+RECIPIENT_LIFETIME_MS = 600_000
+NO_VERSION = -1
 
 
 class ConfigurationLease:
@@ -56,12 +56,12 @@
         "_host_id",
         "_incarnation",
         "_configuration",
-        "_lapsed_configuration",
+        "_expired_lease_configuration",
         "_version",
         "_lease_end_ms",
         "_read_sent_ms",
         "_proposals_by_token",
-        "_given_by_host",
+        "_recipient_by_host",
         "_callbacks",
     )
 
@@ -85,12 +85,12 @@
         self._host_id = host_id
         self._incarnation = incarnation
         self._configuration = Configuration()
-        self._lapsed_configuration = self._configuration
-        self._version = NOTHING_ADOPTED
+        self._expired_lease_configuration = self._configuration
+        self._version = NO_VERSION
         self._lease_end_ms = clock.now_ms()
         self._read_sent_ms = clock.now_ms()
         self._proposals_by_token = {}
-        self._given_by_host = collections.OrderedDict()
+        self._recipient_by_host = collections.OrderedDict()
         self._callbacks = []
         if links is not None:
             links.register(FetchConfiguration, self._on_fetch)
@@ -108,7 +108,7 @@
 
     def ready(self):
         """Tell whether this host has learnt any configuration."""
-        return self._version != NOTHING_ADOPTED
+        return self._version != NO_VERSION
 
     def view(self):
         """Return what this host may act on at this moment.
@@ -121,13 +121,13 @@
         """
         if self._clock.now_ms() < self._lease_end_ms:
             return ConfigurationView(self._configuration, lease_expired=False)
-        return ConfigurationView(self._lapsed_configuration, lease_expired=True)
+        return ConfigurationView(self._expired_lease_configuration, lease_expired=True)
 
     def lease_age_ms(self):
         """Return the time since the last good read was sent, in milliseconds."""
         return self._clock.now_ms() - self._read_sent_ms
 
-    def on_adopt(self, callback):
+    def add_callback(self, callback):
         """Have a function called with each configuration that is adopted.
 
         :param callback: takes the configuration; must not block.
@@ -144,7 +144,7 @@
                 await self._clock.sleep_ms(self._settings.poll_ms * jitter)
                 continue
             if not self.ready():
-                await self.ask_peers()
+                await self.fetch_from_peers()
             await self._clock.sleep_ms(backoff.next_ms())
 
     async def poll(self):
@@ -164,18 +164,18 @@
         self._read_sent_ms = max(self._read_sent_ms, sent_ms)
         return True
 
-    async def ask_peers(self):
+    async def fetch_from_peers(self):
         """Take the configuration of peers, with what is left of their leases."""
         if self._links is None or self._peers is None:
             return
         others = [host_id for host_id in self._peers() if host_id != self._host_id]
-        for host_id in others[:PEERS_ASKED]:
+        for host_id in others[:MAX_PEERS_QUERIED]:
             sent_ms = self._clock.now_ms()
             try:
                 offer = await self._links.call(
                     host_id, FetchConfiguration(self._incarnation()), PEER_TIMEOUT_MS
                 )
-                self._take(offer, sent_ms)
+                self._apply_offer(offer, sent_ms)
             except (ServiceError, msgspec.MsgspecError) as e:
                 log.info("Peer %s offered no configuration: %s", host_id, e)
 
@@ -191,13 +191,15 @@
             raise ServiceError(
                 ErrorKind.CONFIG_CONFLICT, f"Version {self._version} is in force here."
             )
-        known = proposal.token in self._proposals_by_token
-        if not known and len(self._proposals_by_token) >= MAX_PROPOSALS:
+        is_known = proposal.token in self._proposals_by_token
+        if not is_known and len(self._proposals_by_token) >= MAX_PROPOSALS:
             raise ServiceError(ErrorKind.OVERLOADED, "Too many proposals in doubt.")
-        self._keep_proposals([proposal])
-        self._forget_given()
-        given = tuple(given for given, _ in self._given_by_host.values())
-        return CutOffPrepared(self._host_id, self._incarnation(), given)
+        self._add_proposals([proposal])
+        self._drop_old_recipients()
+        recipients = tuple(
+            recipient for recipient, _ in self._recipient_by_host.values()
+        )
+        return CutOffPrepared(self._host_id, self._incarnation(), recipients)
 
     def offer(self, host_id, incarnation):
         """Return what a peer may take from this host, and remember the peer.
@@ -209,7 +211,7 @@
         """
         if not self.ready():
             raise ServiceError(ErrorKind.CONFIG_LAPSED, "No configuration here.")
-        self._remember_given(GivenHost(host_id, incarnation))
+        self._record_recipient(GivenHost(host_id, incarnation))
         left_ms = max(0, self._lease_end_ms - self._clock.now_ms())
         return ConfigurationOffer(
             documents.encode(self._configuration),
@@ -234,7 +236,7 @@
             # A newer one may have been adopted while this one was fetched.
             if head.version > self._version:
                 self._adopt(msgspec.structs.replace(fetched, version=head.version))
-                self._keep_proposals([proposal] if proposal else [])
+                self._add_proposals([proposal] if proposal else [])
         if head.version < self._version:
             log.error(
                 "The platform's version %d is below %d, ignored.",
@@ -243,12 +245,12 @@
             )
         return head.version == self._version
 
-    def _take(self, offer, sent_ms):
+    def _apply_offer(self, offer, sent_ms):
         if offer.version < self._version:
             return
         if offer.version > self._version:
             self._adopt(documents.decode(offer.document))
-        self._keep_proposals(offer.proposals)
+        self._add_proposals(offer.proposals)
         # Counted from when the call was sent, the peer's lease less the round
         # trip remains, however long the answer took.
         self._renew(sent_ms + offer.lease_left_ms)
@@ -262,12 +264,12 @@
             for token, proposal in self._proposals_by_token.items()
             if proposal.base >= self._version
         }
-        self._update_lapsed()
+        self._update_expired_lease_configuration()
         log.info("Adopted version %d.", self._version)
         for callback in self._callbacks:
             callback(configuration)
 
-    def _keep_proposals(self, proposals):
+    def _add_proposals(self, proposals):
         for proposal in proposals:
             if proposal.base >= self._version:
                 self._proposals_by_token[proposal.token] = proposal
@@ -281,27 +283,27 @@
             for token, proposal in self._proposals_by_token.items()
             if proposal.number >= newest[proposal.base]
         }
-        self._update_lapsed()
+        self._update_expired_lease_configuration()
 
-    def _update_lapsed(self):
-        self._lapsed_configuration = expired_lease_configuration(
+    def _update_expired_lease_configuration(self):
+        self._expired_lease_configuration = expired_lease_configuration(
             self._configuration, self._proposals_by_token.values()
         )
 
     def _renew(self, end_ms):
         self._lease_end_ms = max(self._lease_end_ms, end_ms)
 
-    def _remember_given(self, given):
-        self._given_by_host.pop(given.host_id, None)
-        self._forget_given()
-        if len(self._given_by_host) >= MAX_GIVEN:
+    def _record_recipient(self, recipient):
+        self._recipient_by_host.pop(recipient.host_id, None)
+        self._drop_old_recipients()
+        if len(self._recipient_by_host) >= MAX_RECIPIENTS:
             raise ServiceError(ErrorKind.OVERLOADED, "Too many peers were served.")
-        self._given_by_host[given.host_id] = given, self._clock.now_ms()
+        self._recipient_by_host[recipient.host_id] = recipient, self._clock.now_ms()
 
-    def _forget_given(self):
-        oldest_ms = self._clock.now_ms() - GIVEN_LIFETIME_MS
-        while self._given_by_host:
-            host_id, (_, at_ms) = next(iter(self._given_by_host.items()))
+    def _drop_old_recipients(self):
+        oldest_ms = self._clock.now_ms() - RECIPIENT_LIFETIME_MS
+        while self._recipient_by_host:
+            host_id, (_, at_ms) = next(iter(self._recipient_by_host.items()))
             if at_ms > oldest_ms:
                 return
-            del self._given_by_host[host_id]
+            del self._recipient_by_host[host_id]
--- a/goldcrestmoor/version/configuration/store.py
+++ b/goldcrestmoor/version/configuration/store.py
@@ -19,8 +19,8 @@
 HEAD_KEY = "head"
 PROPOSAL_KEY = "proposal"
 MAX_RECENT_TOKENS = 16
-SETTLE_MIN_MS = 100
-SETTLE_MAX_MS = 1000
+RESOLVE_BACKOFF_MIN_MS = 100
+RESOLVE_BACKOFF_MAX_MS = 1000
 
 
 class RecentToken(msgspec.Struct, frozen=True):
@@ -72,7 +72,7 @@
     known_at_ms: int
 
 
-class Overtaken(msgspec.Struct, frozen=True):
+class SupersededWrite(msgspec.Struct, frozen=True):
     """A write that never takes effect, since another came first.
 
     :param version: the version in the platform.
@@ -127,7 +127,7 @@
         row = await self._table.get(TABLE, PROPOSAL_KEY)
         return row and _decode(row, Proposal)
 
-    async def propose(self, proposal):
+    async def save_proposal(self, proposal):
         """Keep proposed cut-off terms where a starting host finds them.
 
         :param proposal: the ``Proposal``.
@@ -160,15 +160,15 @@
             )
         return proposal, Check(TABLE, PROPOSAL_KEY, version + 1)
 
-    async def write(self, base, configuration, token, deadline, guards=()):
+    async def write(self, base, configuration, token, deadline, preconditions=()):
         """Write a configuration as the version after a head.
 
         :param base: the :class:`Head` that it was made from.
         :param configuration: the new configuration.
         :param token: the write's own token.
         :param deadline: by when the outcome must be known.
-        :param guards: further checks that must hold.
-        :return: :class:`Written` or :class:`Overtaken`.
+        :param preconditions: further checks that must hold.
+        :return: :class:`Written` or :class:`SupersededWrite`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it surely was not
             written, ``CONFIG_UNKNOWN`` when that cannot be told in time.
         """
@@ -180,12 +180,12 @@
         recent = (*base.recent_tokens, RecentToken(version, token))
         head = Head(version, token, recent[-MAX_RECENT_TOKENS:], key, _digest(data))
         try:
-            return await self._write_head(base, head, guards)
+            return await self._write_head(base, head, preconditions)
         except ServiceError as e:
             if e.kind != ErrorKind.OUTCOME_UNKNOWN:
                 raise
         log.warning("The answer to the write of version %d was lost.", version)
-        return await self._settle(base, head, deadline, guards)
+        return await self._resolve_outcome(base, head, deadline, preconditions)
 
     async def _put_document(self, key, data):
         try:
@@ -197,28 +197,28 @@
                 ErrorKind.PLATFORM_UNAVAILABLE, f"The document was not stored: {e}"
             ) from e
 
-    async def _write_head(self, base, head, guards):
-        checks = [Check(TABLE, HEAD_KEY, base.version), *guards]
+    async def _write_head(self, base, head, preconditions):
+        checks = [Check(TABLE, HEAD_KEY, base.version), *preconditions]
         writes = [Write(TABLE, HEAD_KEY, msgspec.json.encode(head))]
         answer = await self._table.transact(checks, writes)
         match answer:
             case Committed():
                 return Written(head.version, self._clock.now_ms())
             case CheckFailed():
-                return self._judge(await self.read_head(), head)
+                return self._outcome_of(await self.read_head(), head)
         raise ServiceError(ErrorKind.INTERNAL, "The table client's answer is unknown.")
 
-    async def _settle(self, base, head, deadline, guards):
+    async def _resolve_outcome(self, base, head, deadline, preconditions):
         # The head still at its base does not tell that the write failed: it may
         # be on its way. Sending it again is safe, as of two writes against one
         # base at most one takes effect, and it makes the outcome certain.
-        backoff = Backoff(SETTLE_MIN_MS, SETTLE_MAX_MS)
+        backoff = Backoff(RESOLVE_BACKOFF_MIN_MS, RESOLVE_BACKOFF_MAX_MS)
         while not deadline.passed():
             try:
                 current = await self.read_head()
                 if current.version >= head.version:
-                    return self._judge(current, head)
-                return await self._write_head(base, head, guards)
+                    return self._outcome_of(current, head)
+                return await self._write_head(base, head, preconditions)
             except ServiceError as e:
                 if e.kind == ErrorKind.CONFIG_UNKNOWN:
                     raise
@@ -227,15 +227,15 @@
                 log.info("Version %d is not settled yet: %s", head.version, e)
             delay_ms = min(backoff.next_ms(), deadline.remaining_ms())
             await self._clock.sleep_ms(delay_ms)
-        raise _unknown(head.version)
+        raise _unknown_outcome(head.version)
 
-    def _judge(self, current, head):
+    def _outcome_of(self, current, head):
         if current.has_token(head.token):
             return Written(head.version, self._clock.now_ms())
         oldest = current.recent_tokens[0].version if current.recent_tokens else 0
         if oldest > head.version:
-            raise _unknown(head.version)
-        return Overtaken(current.version)
+            raise _unknown_outcome(head.version)
+        return SupersededWrite(current.version)
 
 
 def new_token():
@@ -243,7 +243,7 @@
     return util.new_id()
 
 
-def _unknown(version):
+def _unknown_outcome(version):
     return ServiceError(
         ErrorKind.CONFIG_UNKNOWN,
         f"It is unknown whether version {version} was written; ask SHOW VERSION.",
--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -12,10 +12,10 @@
 from goldcrestmoor.version.configuration import document as documents
 from goldcrestmoor.version.configuration.cut_off import (
     CutOffPart,
-    Place,
     Proposal,
+    UpstreamLocation,
     cut_off_part,
-    narrow,
+    intersect,
 )
 from goldcrestmoor.version.configuration.document import Configuration
 from goldcrestmoor.version.configuration.driver import Accepted, Refused, Unknown
@@ -135,7 +135,7 @@
         self.world.network.silent = {"h1", "h2"}
         answer = await self.change(TERMS_OF_TISZA % 1)
         self.assertIsInstance(answer, Refused)
-        self.assertEqual(answer.silent_hosts, ("h1", "h2"))
+        self.assertEqual(answer.unresponsive_hosts, ("h1", "h2"))
         self.assertIn("h1, h2", answer.reason)
         self.assertIsInstance(await self.change(SHARE_OF_TISZA % 5), Accepted)
 
@@ -179,7 +179,7 @@
         late.platform.cut = True
         self.h0.links.after_answer = functools.partial(self._pass_ms, 1000)
         self.assertFalse(await late.lease.poll())
-        await late.lease.ask_peers()
+        await late.lease.fetch_from_peers()
         self.assertTrue(late.lease.ready())
         self.assertFalse(late.lease.view().lease_expired)
         end_ms = self.h0.lease._lease_end_ms
@@ -190,7 +190,7 @@
         self.world.lapse()
         late = self.world.start_host("h3")
         late.platform.cut = True
-        await late.lease.ask_peers()
+        await late.lease.fetch_from_peers()
         view = late.lease.view()
         self.assertEqual((view.lease_expired, late.lease.version), (True, 1))
         self.assertEqual(list(view.configuration.accounts_by_name), ["tisza"])
@@ -198,14 +198,14 @@
     async def test_hosts_that_were_handed_terms_must_acknowledge_too(self):
         late = self.world.start_host("h3")
         late.platform.cut = True
-        await late.lease.ask_peers()
+        await late.lease.fetch_from_peers()
         self.platform.host_ids.remove("h3")
         del self.world.network.incarnation_by_host["h3"]
         self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
         self.assertEqual(self._staleness(late), 1)
         self.world.network.silent = {"h3"}
         answer = await self.change(TERMS_OF_TISZA % 0)
-        self.assertEqual(answer.silent_hosts, ("h3",))
+        self.assertEqual(answer.unresponsive_hosts, ("h3",))
 
     async def test_a_host_that_took_an_offer_after_its_restart_is_asked_again(self):
         async def restart_h1(message):
@@ -214,7 +214,7 @@
                 restarted = self.world.start_host("h1", 2)
                 restarted.platform.cut = True
                 restarted.lease._peers = lambda: ["h2"]
-                await restarted.lease.ask_peers()
+                await restarted.lease.fetch_from_peers()
 
         self.h2.links.before_answer = restart_h1
         self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
@@ -227,7 +227,7 @@
         await self.change(TERMS_OF_TISZA % 1)
         late = self.world.start_host("h3")
         late.platform.cut = True
-        await late.lease.ask_peers()
+        await late.lease.fetch_from_peers()
         self.world.lapse()
         self.assertEqual(self._staleness(late), 1)
 
@@ -237,7 +237,7 @@
         async def propose_another():
             writes.append(True)
             if len(writes) == 2:
-                await self.h1.driver._store.propose(Proposal("other", 1))
+                await self.h1.driver._store.save_proposal(Proposal("other", 1))
 
         self.platform.before_write = propose_another
         answer = await self.change(TERMS_OF_TISZA % 1)
@@ -247,7 +247,7 @@
         self.world.network.silent = {"h2"}
         for bound in range(MAX_PROPOSALS + 1):
             answer = await self.change(TERMS_OF_TISZA % (bound % 2))
-            self.assertEqual(answer.silent_hosts, ("h2",))
+            self.assertEqual(answer.unresponsive_hosts, ("h2",))
         self.world.network.silent = set()
         self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
 
@@ -284,7 +284,7 @@
 
     async def test_polling_adopts_and_tells(self):
         adopted = []
-        self.h1.lease.on_adopt(adopted.append)
+        self.h1.lease.add_callback(adopted.append)
         await self.change(SHARE_OF_TISZA % 5)
         task = asyncio.create_task(self.h1.lease.run())
         await _common.eventually(lambda: adopted)
@@ -410,7 +410,7 @@
         started = self.world.start_host(host.id, incarnation)
         started.platform.cut = host.platform.cut
         if not await started.lease.poll():
-            await started.lease.ask_peers()
+            await started.lease.fetch_from_peers()
 
     def _document(self, version):
         # The losers of a race have left documents of the same version behind.
@@ -432,9 +432,12 @@
             upstreams = view.configuration.upstreams_by_name.values()
             part = CutOffPart(
                 view.configuration.accounts_by_name,
-                {u.name: Place(u.pool, u.address, u.port) for u in upstreams},
+                {
+                    u.name: UpstreamLocation(u.pool, u.address, u.port)
+                    for u in upstreams
+                },
             )
-            assert narrow(part, _as_proposal(part, bound)) == part, host.id
+            assert intersect(part, _as_proposal(part, bound)) == part, host.id
 
 
 def _as_proposal(part, bound):
