--- a/goldcrestmoor/version/configuration/__init__.py
+++ b/goldcrestmoor/version/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the document, its versions, and the routes on the users' platform."""
+"""The configuration document, its versions, and the routes of the platform."""
--- a/goldcrestmoor/version/configuration/cut_off.py
+++ b/goldcrestmoor/version/configuration/cut_off.py
@@ -1,9 +1,9 @@
-"""The part of a configuration that a host acts on once its lease has lapsed.
+"""The part of a configuration that applies on a host whose lease has expired.
 
-The part holds the accounts that may be served meanwhile, with their cut-off share
-and staleness bound in the place of the ordinary ones, and where each upstream
-is. It leaves out slots, fencing and draining: the first two are no promise to
-anybody, and a drain must be possible while a zone is cut off.
+The part contains the accounts that may be served meanwhile, with their cut-off share
+and staleness bound instead of the ordinary ones, and the location of each upstream.
+It omits slots, fencing and draining: nothing relies on the first two, and draining
+must be possible while a zone is partitioned.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 
 
 class UpstreamLocation(msgspec.Struct, frozen=True):
-    """Where an upstream is.
+    """The network location of an upstream.
 
     :param pool: its pool's name.
     :param address: its IP address.
@@ -29,10 +29,10 @@
 
 
 class CutOffPart(msgspec.Struct, frozen=True):
-    """What a lapsed host acts on.
+    """The accounts and upstreams of a host whose lease has expired.
 
-    :param accounts_by_name: the accounts that it serves, under cut-off terms.
-    :param places_by_upstream: the upstreams that it may use.
+    :param accounts_by_name: the accounts that the host serves, under cut-off terms.
+    :param places_by_upstream: the upstreams that the host may use.
     """
 
     accounts_by_name: dict[str, Account] = {}
@@ -40,18 +40,18 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """Changes of the part that may come into force with the version after ``base``.
+    """Changes of the part that may take effect with the version after ``base``.
 
-    Only what changes or goes away is named; additions are harmless on a host that
-    does not know them.
+    Only changed and removed entries are listed; additions are harmless on a host
+    that does not have them.
 
-    :param token: the token of the write that would bring it.
-    :param base: the version that it was written against.
+    :param token: the token of the write that would apply the changes.
+    :param base: the version that the write is based on.
     :param accounts_by_name: accounts with their new terms; None when no longer
         served.
-    :param places_by_upstream: upstreams with their new places; None when dropped.
-    :param number: the version of the row that it was kept in; of two with the same
-        base only the one with the higher number can come into force.
+    :param places_by_upstream: upstreams with their new locations; None when dropped.
+    :param number: the version of the row that stores the proposal; of two proposals
+        with the same base, only the one with the higher number can take effect.
     """
 
     token: str
@@ -61,12 +61,12 @@
     number: int = 0
 
     def is_empty(self):
-        """Tell whether nothing changes that a lapsed host acts on."""
+        """Return whether nothing changes for hosts whose lease has expired."""
         return not self.accounts_by_name and not self.places_by_upstream
 
 
 def cut_off_part(configuration):
-    """Return the part of a configuration that lapsed hosts act on.
+    """Return the part of a configuration for hosts whose lease has expired.
 
     :param configuration: a ``Configuration``.
     """
@@ -79,12 +79,12 @@
 
 
 def make_proposal(token, base, old, new):
-    """Return what lapsed hosts must know of before a new part comes into force.
+    """Return the changes that hosts must acknowledge before they take effect.
 
-    :param token: the token of the write that will bring it.
-    :param base: the version that it was written against.
-    :param old: the :class:`CutOffPart` in force.
-    :param new: the part that is to come.
+    :param token: the token of the write that will apply the changes.
+    :param base: the version that the write is based on.
+    :param old: the current :class:`CutOffPart`.
+    :param new: the part after the change.
     :return: a :class:`Proposal`.
     """
     return Proposal(
@@ -96,7 +96,7 @@
 
 
 def intersect(part, proposal):
-    """Return what is allowed both by a part and by a proposal.
+    """Return the part that both a part and a proposal allow.
 
     :param part: a :class:`CutOffPart`.
     :param proposal: a :class:`Proposal`.
@@ -117,11 +117,11 @@
 
 
 def expired_lease_configuration(configuration, proposals=()):
-    """Return what a host acts on while its lease has lapsed.
+    """Return the configuration that applies while a host's lease is expired.
 
     :param configuration: the newest configuration that the host has adopted.
     :param proposals: the proposals that the host has acknowledged and that may
-        have come into force since.
+        have taken effect since.
     """
     part = cut_off_part(configuration)
     for proposal in proposals:
@@ -153,8 +153,8 @@
 def _stricter_account(first, second):
     if second is None:
         return None
-    # Nobody can tell which of two tokens, kinds or zones holds by now, and no
-    # choice would be right under both.
+    # The host cannot determine which of two tokens, kinds or zones is current, and
+    # no choice is correct under both.
     if (first.kind, first.token_hash, first.zone) != (
         second.kind,
         second.token_hash,
--- a/goldcrestmoor/version/configuration/document.py
+++ b/goldcrestmoor/version/configuration/document.py
@@ -10,14 +10,14 @@
 
 
 class UpstreamKind(enum.StrEnum):
-    """What an upstream is."""
+    """The kind of server that an upstream is."""
 
     ENGINE = "engine"
     APPLICATION = "application"
 
 
 class VersionChangePolicy(enum.StrEnum):
-    """What happens to a stream when its engine changes weights."""
+    """How a stream is handled when its engine changes weights."""
 
     FINISH = "finish"
     RESUME = "resume"
@@ -25,11 +25,11 @@
 
 
 class CutOffTerms(msgspec.Struct, frozen=True):
-    """What a host may do for an account while it cannot read the configuration.
+    """An account's limits on a host that cannot read the configuration.
 
     :param serve: whether the account is served at all.
-    :param share: its weight in the pool meanwhile.
-    :param staleness_bound: its staleness bound meanwhile, in versions.
+    :param share: the account's weight in the pool meanwhile.
+    :param staleness_bound: the account's staleness bound meanwhile, in versions.
     """
 
     serve: bool = True
@@ -38,10 +38,10 @@
 
 
 class DeliveryRules(msgspec.Struct, frozen=True):
-    """How an account's samples are made.
+    """How an account's samples are generated.
 
-    :param hedge: whether stragglers may get a second copy.
-    :param on_version_change: what happens to streams in flight.
+    :param hedge: whether straggling streams may be hedged.
+    :param on_version_change: how streams in flight are handled.
     """
 
     hedge: bool = True
@@ -56,10 +56,10 @@
     :param token_hash: SHA-256 of its token, in hexadecimal.
     :param pools: the pools that it may use.
     :param share: its weight in a pool.
-    :param staleness_bound: the most versions that a sample may lag behind.
-    :param zone: the availability zone where its steps are held.
-    :param delivery: how its samples are made.
-    :param cut_off: what a cut-off host may do for it.
+    :param staleness_bound: the maximum number of versions that a sample may lag.
+    :param zone: the availability zone of the hosts that hold its steps.
+    :param delivery: how its samples are generated.
+    :param cut_off: its limits on hosts that cannot read the configuration.
     """
 
     name: str
@@ -74,7 +74,7 @@
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """A group of like upstreams.
+    """A group of interchangeable upstreams.
 
     :param name: its name, which callers use in routes.
     :param kind: engine or application.
@@ -94,9 +94,9 @@
     :param zone: its availability zone.
     :param address: its IP address.
     :param port: its TCP port.
-    :param slots: how many requests it runs at a time.
-    :param fencing: whether it refuses orders with an old fencing number.
-    :param draining: whether an operator wants no new work on it.
+    :param slots: the maximum number of concurrent requests.
+    :param fencing: whether it rejects load orders with an old fencing number.
+    :param draining: whether an operator has stopped new work on it.
     """
 
     name: str
@@ -110,13 +110,13 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of everything that operators set.
+    """One version of all settings that operators change at run time.
 
-    :param version: the head row's version that it came with; 0 when empty.
+    :param version: the version of its head row; 0 when empty.
     :param accounts_by_name: the client accounts.
     :param pools_by_name: the pools.
     :param upstreams_by_name: the upstreams of all pools.
-    :param draining_hosts: hosts that an operator wants no new work on.
+    :param draining_hosts: hosts on which an operator has stopped new work.
     """
 
     version: int = 0
@@ -126,7 +126,7 @@
     draining_hosts: tuple[str, ...] = ()
 
     def upstreams_of(self, pool):
-        """Return the upstreams of a pool, in the order of their names.
+        """Return the upstreams of a pool, sorted by name.
 
         :param pool: the pool's name.
         """
@@ -135,12 +135,12 @@
 
 
 class ConfigurationView(msgspec.Struct, frozen=True):
-    """What a host may act on at this moment.
+    """The configuration that currently applies on a host.
 
     :param configuration: the newest configuration that the host has adopted.
-        When ``lease_expired``, accounts that may not be served are left out and the
-        others carry their cut-off share and staleness bound.
-    :param lease_expired: whether the read lease has run out.
+        When ``lease_expired``, accounts that may not be served are omitted and the
+        others have their cut-off share and staleness bound.
+    :param lease_expired: whether the read lease has expired.
     """
 
     configuration: Configuration
@@ -148,9 +148,10 @@
 
 
 def encode(configuration):
-    """Return a configuration as bytes, the same for equal documents.
+    """Encode a configuration; equal configurations give equal bytes.
 
-    Every host fetches every version, and the documents are long and repetitive.
+    The bytes are compressed because every host fetches every version and the
+    documents are long and repetitive.
 
     :param configuration: a :class:`Configuration`.
     """
@@ -158,16 +159,16 @@
 
 
 def decode(data):
-    """Return the configuration that bytes hold.
+    """Decode a configuration.
 
-    :param data: what :func:`encode` gave.
-    :raises msgspec.MsgspecError: when they hold no configuration.
+    :param data: the output of :func:`encode`.
+    :raises msgspec.MsgspecError: when the data is not a valid configuration.
     """
     codec = zlib.decompressobj()
     try:
         text = codec.decompress(data, MAX_DOCUMENT_BYTES)
     except zlib.error as e:
-        raise msgspec.DecodeError("The document is not compressed well.") from e
+        raise msgspec.DecodeError("The document is not valid zlib data.") from e
     if not codec.eof:
-        raise msgspec.DecodeError("The document is cut short or too long.")
+        raise msgspec.DecodeError("The document is truncated or too long.")
     return msgspec.json.decode(text, type=Configuration)
--- a/goldcrestmoor/version/configuration/driver.py
+++ b/goldcrestmoor/version/configuration/driver.py
@@ -1,4 +1,4 @@
-"""Drive one change of the configuration from an operator to all hosts."""
+"""Apply an operator's change of the configuration on all hosts."""
 
 import asyncio
 import logging
@@ -26,10 +26,10 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """A change that is in force everywhere.
+    """A change that is in effect on all hosts.
 
-    :param version: the version that it made.
-    :param elapsed_ms: the time from the command to this answer.
+    :param version: the version that the change created.
+    :param elapsed_ms: the time from the command to this outcome.
     """
 
     version: int
@@ -39,10 +39,10 @@
 class Refused(msgspec.Struct, frozen=True):
     """A change that was not made and never will be.
 
-    :param reason: why.
-    :param version: the platform's current version, or the newest known here.
+    :param reason: why the change was rejected.
+    :param version: the platform's current version, or the newest one on this host.
     :param unresponsive_hosts: the hosts that did not acknowledge new cut-off terms.
-    :param kind: the kind of error that it stands for.
+    :param kind: the kind of error to report.
     """
 
     reason: str
@@ -52,16 +52,16 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """A change of which nobody can tell yet whether it was made.
+    """A change that may or may not have been made.
 
-    :param message: what to do.
+    :param message: what the operator should do.
     """
 
     message: str = "unknown, ask SHOW VERSION"
 
 
 class ConfigurationDriver:
-    """Make changes of the configuration, one answer each.
+    """Apply changes of the configuration and report one outcome for each.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the table service's client.
@@ -69,7 +69,7 @@
     :param settings: the configuration section of the settings.
     :param lease: this host's configuration lease.
     :param links: the peer links.
-    :param membership: the hosts that this host believes alive.
+    :param membership: the hosts that this host considers alive.
     :param host_list: the platform's list of hosts.
     :param host_id: this host's id.
     """
@@ -110,12 +110,12 @@
         self._permits = asyncio.Semaphore(MAX_PREPARES_IN_FLIGHT)
 
     async def change(self, base_version, apply):
-        """Make one atomic change, and answer once it is in force everywhere.
+        """Make one atomic change, and return once it is in effect on all hosts.
 
-        :param base_version: the version that the operator wrote it against; the
-            platform's current one when None.
+        :param base_version: the version that the operator's change is based on; the
+            platform's current version when None.
         :param apply: takes a configuration and returns the changed one; raises
-            ServiceError when the change makes no sense.
+            ServiceError when the change is invalid.
         :return: :class:`Accepted`, :class:`Refused` or :class:`Unknown`.
         """
         started_ms = self._clock.now_ms()
@@ -147,7 +147,7 @@
         if base.version < self._lease.version:
             raise ServiceError(
                 ErrorKind.PLATFORM_UNAVAILABLE,
-                f"The platform's version {base.version} is an old one.",
+                f"The platform's version {base.version} is older than this host's.",
             )
         old = await self._fetch(base)
         new = apply(old)
@@ -163,10 +163,10 @@
             if unresponsive:
                 reason = f"Cut-off terms not acknowledged by {', '.join(unresponsive)}."
                 return Refused(reason, base.version, unresponsive)
-        # After this point too little time would be left to see it in force.
+        # A write after this time could not take effect everywhere before the deadline.
         write_by = Deadline(self._clock, deadline.at_ms - self._propagation_ms())
         if write_by.passed():
-            return Refused("There was too little time left to make it.", base.version)
+            return Refused("Too little time was left to make the change.", base.version)
         return await self._store.write(base, new, token, write_by, preconditions)
 
     async def _fetch(self, head):
@@ -179,8 +179,8 @@
         return self._settings.lease_ms + self._settings.lease_margin_ms
 
     async def _wait_until_effective(self, written, started_ms, deadline):
-        # Every read that was sent before the write took effect has run out by
-        # then, so that each host has adopted this version or has lapsed.
+        # By then, every lease from a read sent before the write has expired, so
+        # each host has either adopted this version or has an expired lease.
         effective_at = Deadline(
             self._clock, written.known_at_ms + self._propagation_ms()
         )
@@ -188,11 +188,11 @@
             return Unknown()
         while not effective_at.passed():
             await self._clock.sleep_ms(effective_at.remaining_ms())
-        log.info("Version %d is in force.", written.version)
+        log.info("Version %d is in effect on all hosts.", written.version)
         return Accepted(written.version, self._clock.now_ms() - started_ms)
 
     async def _prepare_hosts(self, proposal, deadline):
-        """Have every live host acknowledge a proposal; return the silent ones."""
+        """Have every live host acknowledge a proposal; return those that did not."""
         answer_by_host = {}
         for _ in range(MAX_PREPARE_ROUNDS):
             pending = await self._unprepared_hosts(answer_by_host)
@@ -209,13 +209,13 @@
         return await self._unprepared_hosts(answer_by_host)
 
     async def _unprepared_hosts(self, answer_by_host):
-        """Return the live hosts that have not acknowledged as they are now."""
+        """Return the live hosts whose current incarnation has not acknowledged."""
         records = list(self._membership.live())
         listed = await self._host_list.fetch()
         hosts = {host.id for host in listed if host.kind == HOST_KIND}
         hosts |= {record.id for record in records} | {self._host_id}
         pending = hosts - set(answer_by_host)
-        # A host that was restarted since has forgotten its acknowledgement.
+        # A host that has restarted since then has lost the acknowledged proposal.
         for host_id, incarnation in _incarnations(records, answer_by_host):
             answer = answer_by_host.get(host_id)
             if answer is None or answer.incarnation < incarnation:
@@ -232,7 +232,7 @@
                         host_id, PrepareCutOff(proposal), PREPARE_TIMEOUT_MS
                     )
                 except ServiceError as e:
-                    log.info("Host %s did not acknowledge: %s", host_id, e)
+                    log.info("Host %s did not acknowledge the proposal: %s", host_id, e)
                     continue
                 if isinstance(answer, CutOffPrepared):
                     return answer
@@ -242,12 +242,12 @@
         try:
             return self._lease.prepare(proposal)
         except ServiceError as e:
-            log.info("This host did not acknowledge: %s", e)
+            log.info("This host did not acknowledge its own proposal: %s", e)
             return None
 
 
 def _incarnations(records, answer_by_host):
-    """Yield each host that is known to run, with its newest incarnations."""
+    """Yield the id and an incarnation of each host that is known to run."""
     for record in records:
         yield record.id, record.incarnation
     for answer in answer_by_host.values():
--- a/goldcrestmoor/version/configuration/lease.py
+++ b/goldcrestmoor/version/configuration/lease.py
@@ -1,4 +1,4 @@
-"""The read lease: what this host may act on, and until when."""
+"""The read lease: the configuration in effect on this host, and its expiry."""
 
 import collections
 import logging
@@ -35,16 +35,16 @@
 
 
 class ConfigurationLease:
-    """Keep the newest configuration and the time until which it may be acted on.
+    """Hold the newest configuration and the time until which it is valid.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the table service's client.
     :param objects: the object store's client.
     :param settings: the configuration section of the settings.
-    :param links: the peer links, to ask peers and to answer them; none by default.
-    :param peers: gives the ids of the hosts to ask at start, the nearest first.
+    :param links: the peer links, for calls to and from peers; none by default.
+    :param peers: returns the ids of the hosts to query at start, nearest first.
     :param host_id: this host's id.
-    :param incarnation: gives this host's incarnation, which grows while it runs.
+    :param incarnation: returns this host's incarnation, which grows while it runs.
     """
 
     __slots__ = (
@@ -98,23 +98,23 @@
 
     @property
     def version(self):
-        """The version in force here; 0 when there is none."""
+        """The version of the adopted configuration; 0 when there is none."""
         return self._configuration.version
 
     @property
     def configuration(self):
-        """The newest configuration that was adopted, lapsed or not."""
+        """The newest adopted configuration, whether or not its lease has expired."""
         return self._configuration
 
     def ready(self):
-        """Tell whether this host has learnt any configuration."""
+        """Return whether this host has adopted any configuration."""
         return self._version != NO_VERSION
 
     def view(self):
-        """Return what this host may act on at this moment.
+        """Return the configuration that currently applies on this host.
 
-        The lease is checked at each call, as the process may have been frozen
-        since the last one.
+        The lease is checked at each call, as the process may have been paused
+        since the last call.
 
         :return: a
             :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
@@ -124,11 +124,11 @@
         return ConfigurationView(self._expired_lease_configuration, lease_expired=True)
 
     def lease_age_ms(self):
-        """Return the time since the last good read was sent, in milliseconds."""
+        """Return the time since the last successful read was sent, in milliseconds."""
         return self._clock.now_ms() - self._read_sent_ms
 
     def add_callback(self, callback):
-        """Have a function called with each configuration that is adopted.
+        """Register a function that is called with each adopted configuration.
 
         :param callback: takes the configuration; must not block.
         """
@@ -148,24 +148,25 @@
             await self._clock.sleep_ms(backoff.next_ms())
 
     async def poll(self):
-        """Read the head once, and adopt and renew as it allows.
+        """Read the head once, adopt a newer version and renew the lease.
 
-        :return: whether the read was good.
+        :return: whether the read succeeded.
         """
         sent_ms = self._clock.now_ms()
         try:
             if not await self._read():
                 return False
         except (ServiceError, msgspec.MsgspecError) as e:
-            log.warning("The head was not read: %s", e)
+            log.warning("The configuration's head could not be read: %s", e)
             return False
-        # The document's fetch counts too: the read was true when it was sent.
+        # The lease counts from before the document's fetch: the head may have changed
+        # at any time after its read was sent.
         self._renew(sent_ms + self._settings.lease_ms)
         self._read_sent_ms = max(self._read_sent_ms, sent_ms)
         return True
 
     async def fetch_from_peers(self):
-        """Take the configuration of peers, with what is left of their leases."""
+        """Fetch the configuration from peers, with the rest of their leases."""
         if self._links is None or self._peers is None:
             return
         others = [host_id for host_id in self._peers() if host_id != self._host_id]
@@ -177,23 +178,24 @@
                 )
                 self._apply_offer(offer, sent_ms)
             except (ServiceError, msgspec.MsgspecError) as e:
-                log.info("Peer %s offered no configuration: %s", host_id, e)
+                log.info("Configuration was not fetched from peer %s: %s", host_id, e)
 
     def prepare(self, proposal):
-        """Take proposed cut-off terms into account from now on.
+        """Apply the stricter of the current and the proposed cut-off terms from now on.
 
         :param proposal: a ``Proposal``.
         :return: the :class:`CutOffPrepared` acknowledgement.
-        :raises ServiceError: ``CONFIG_CONFLICT`` when a newer version is known
-            here, ``OVERLOADED`` when too many proposals are in doubt.
+        :raises ServiceError: ``CONFIG_CONFLICT`` when this host has a newer version,
+            ``OVERLOADED`` when too many proposals are pending.
         """
         if proposal.base < self._version:
             raise ServiceError(
-                ErrorKind.CONFIG_CONFLICT, f"Version {self._version} is in force here."
+                ErrorKind.CONFIG_CONFLICT,
+                f"This host already has version {self._version}.",
             )
         is_known = proposal.token in self._proposals_by_token
         if not is_known and len(self._proposals_by_token) >= MAX_PROPOSALS:
-            raise ServiceError(ErrorKind.OVERLOADED, "Too many proposals in doubt.")
+            raise ServiceError(ErrorKind.OVERLOADED, "Too many proposals are pending.")
         self._add_proposals([proposal])
         self._drop_old_recipients()
         recipients = tuple(
@@ -202,15 +204,17 @@
         return CutOffPrepared(self._host_id, self._incarnation(), recipients)
 
     def offer(self, host_id, incarnation):
-        """Return what a peer may take from this host, and remember the peer.
+        """Return this host's configuration for a peer, and record the peer.
 
         :param host_id: the peer.
-        :param incarnation: its incarnation.
-        :raises ServiceError: ``CONFIG_LAPSED`` when there is nothing to offer,
-            ``OVERLOADED`` when too many peers were served.
+        :param incarnation: the peer's incarnation.
+        :raises ServiceError: ``CONFIG_LAPSED`` when this host has no configuration,
+            ``OVERLOADED`` when too many peers were served recently.
         """
         if not self.ready():
-            raise ServiceError(ErrorKind.CONFIG_LAPSED, "No configuration here.")
+            raise ServiceError(
+                ErrorKind.CONFIG_LAPSED, "This host has no configuration yet."
+            )
         self._record_recipient(GivenHost(host_id, incarnation))
         left_ms = max(0, self._lease_end_ms - self._clock.now_ms())
         return ConfigurationOffer(
@@ -227,19 +231,19 @@
         return self.prepare(message.proposal)
 
     async def _read(self):
-        # Before the head, as a later proposal may stand there once the head
-        # that it leads to is written.
+        # The proposal is read before the head: once the head that results from it
+        # is written, a later proposal may have replaced it.
         proposal = None if self.ready() else await self._store.read_proposal()
         head = await self._store.read_head()
         if head.version > self._version:
             fetched = await self._store.fetch(head)
-            # A newer one may have been adopted while this one was fetched.
+            # A newer version may have been adopted during the fetch.
             if head.version > self._version:
                 self._adopt(msgspec.structs.replace(fetched, version=head.version))
                 self._add_proposals([proposal] if proposal else [])
         if head.version < self._version:
             log.error(
-                "The platform's version %d is below %d, ignored.",
+                "Platform version %d is older than adopted version %d; ignored.",
                 head.version,
                 self._version,
             )
@@ -251,21 +255,21 @@
         if offer.version > self._version:
             self._adopt(documents.decode(offer.document))
         self._add_proposals(offer.proposals)
-        # Counted from when the call was sent, the peer's lease less the round
-        # trip remains, however long the answer took.
+        # The remaining lease counts from when the call was sent, so that it never
+        # ends after the peer's own lease, however long the reply took.
         self._renew(sent_ms + offer.lease_left_ms)
 
     def _adopt(self, configuration):
         self._configuration = configuration
         self._version = configuration.version
-        # A proposal whose base is past can no longer come into force.
+        # A proposal based on an older version can no longer take effect.
         self._proposals_by_token = {
             token: proposal
             for token, proposal in self._proposals_by_token.items()
             if proposal.base >= self._version
         }
         self._update_expired_lease_configuration()
-        log.info("Adopted version %d.", self._version)
+        log.info("Configuration version %d adopted.", self._version)
         for callback in self._callbacks:
             callback(configuration)
 
@@ -273,7 +277,7 @@
         for proposal in proposals:
             if proposal.base >= self._version:
                 self._proposals_by_token[proposal.token] = proposal
-        # A later one against the same base keeps those before it from being written.
+        # A later proposal with the same base prevents earlier ones from being written.
         newest = {}
         for proposal in self._proposals_by_token.values():
             number = newest.get(proposal.base, 0)
@@ -297,7 +301,9 @@
         self._recipient_by_host.pop(recipient.host_id, None)
         self._drop_old_recipients()
         if len(self._recipient_by_host) >= MAX_RECIPIENTS:
-            raise ServiceError(ErrorKind.OVERLOADED, "Too many peers were served.")
+            raise ServiceError(
+                ErrorKind.OVERLOADED, "Too many peers were served recently."
+            )
         self._recipient_by_host[recipient.host_id] = recipient, self._clock.now_ms()
 
     def _drop_old_recipients(self):
--- a/goldcrestmoor/version/configuration/messages.py
+++ b/goldcrestmoor/version/configuration/messages.py
@@ -1,13 +1,13 @@
-"""What hosts tell one another about the configuration."""
+"""Messages between hosts about the configuration."""
 
 from goldcrestmoor.version.configuration.cut_off import Proposal
 from goldcrestmoor.wire import Message
 
 
 class FetchConfiguration(Message, frozen=True):
-    """Ask a peer for its configuration, at start while the platform is down.
+    """Request a peer's configuration, at start while the platform is unavailable.
 
-    :param incarnation: the asking host's incarnation.
+    :param incarnation: the requesting host's incarnation.
     """
 
     incarnation: int
@@ -18,7 +18,7 @@
 
     :param document: the encoded configuration; empty when the peer has none.
     :param version: its version.
-    :param lease_left_ms: how long the peer itself may still act on it.
+    :param lease_left_ms: the rest of the peer's own lease, in milliseconds.
     :param proposals: the proposals that the peer has acknowledged.
     """
 
@@ -29,7 +29,7 @@
 
 
 class PrepareCutOff(Message, frozen=True):
-    """Ask a host to take proposed cut-off terms into account when it lapses.
+    """Request that a host applies proposed cut-off terms once its lease expires.
 
     :param proposal: the proposed terms.
     """
@@ -38,7 +38,7 @@
 
 
 class GivenHost(Message, frozen=True):
-    """A host that was handed a configuration.
+    """A host that received a configuration from a peer.
 
     :param host_id: the host.
     :param incarnation: its incarnation at the time.
@@ -51,9 +51,9 @@
 class CutOffPrepared(Message, frozen=True):
     """The acknowledgement of :class:`PrepareCutOff`.
 
-    :param host_id: the host that gives it.
+    :param host_id: the acknowledging host.
     :param incarnation: its incarnation.
-    :param given_to: the hosts that it has handed its configuration to.
+    :param given_to: the hosts that recently received its configuration.
     """
 
     host_id: str
--- a/goldcrestmoor/version/configuration/routes.py
+++ b/goldcrestmoor/version/configuration/routes.py
@@ -1,4 +1,4 @@
-"""One version of the routes: which requests go to which services, on which terms."""
+"""One version of the route table: services, timeouts and retries by route."""
 
 import enum
 import hashlib
@@ -7,7 +7,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What the answers of a route are like."""
+    """The kind of responses that a route has."""
 
     PLAIN = "plain"
     STREAM = "stream"
@@ -15,13 +15,13 @@
 
 
 class RetryPolicy(enum.StrEnum):
-    """How a request of a route may be sent to more than one upstream."""
+    """Whether a request of a route may be sent to more than one upstream."""
 
-    # Any number of runs is harmless.
+    # The request may run any number of times.
     IDEMPOTENT = "freely"
-    # A run may go on elsewhere after the events that are there.
+    # Another upstream may resume the stream after the events already received.
     RESUMABLE = "resumed"
-    # Only when it surely was not run.
+    # The request may be sent again only if it certainly was not run.
     NEVER = "never"
 
 
@@ -37,10 +37,10 @@
 
 
 class JobPolicy(msgspec.Struct, frozen=True):
-    """What holds for the batch jobs of a route.
+    """The deadlines and constraints of a route's batch jobs.
 
-    :param due_after_ms: all results are wanted so long after submission.
-    :param expire_after_ms: an item may be given up so long after submission.
+    :param due_after_ms: the time from submission until all results are due.
+    :param expire_after_ms: the time from submission after which an item may be dropped.
     :param single_version: whether a result may come from one weight version only.
     """
 
@@ -50,19 +50,19 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where the requests of one host and path prefix go.
+    """The destination and rules of requests for one host and path prefix.
 
     :param name: the route's name.
-    :param host: the host that callers name.
+    :param host: the host name in the callers' requests.
     :param path_prefix: begins and ends with a slash.
-    :param kind: what its answers are like.
+    :param kind: the kind of its responses.
     :param retry_policy: whether a request may be sent again.
     :param shares: the services, with their weights.
-    :param timeout_ms: the longest that a request may be kept waiting.
-    :param target_ms: the time within which an answer is worth most.
+    :param timeout_ms: the maximum time that a request may wait for its response.
+    :param target_ms: the latency target, within which a response has full value.
     :param priority: 0 is the most urgent.
-    :param attempts: how many upstreams a request may be sent to.
-    :param job: the terms of batch jobs, on a route of that kind.
+    :param attempts: the maximum number of upstreams that a request is sent to.
+    :param job: the policy of batch jobs, on a route of that kind.
     """
 
     name: str
@@ -78,11 +78,11 @@
     job: JobPolicy | None = None
 
     def service_for(self, request_id):
-        """Return the service that a request goes to, by the services' weights.
+        """Return the service for a request, chosen by the services' weights.
 
         The same request always goes to the same service.
 
-        :param request_id: the request.
+        :param request_id: the request's id.
         """
         total = sum(share.weight for share in self.shares)
         if len(self.shares) == 1 or not total:
@@ -97,11 +97,12 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of like upstreams.
+    """A group of interchangeable upstreams.
 
     :param name: its name.
     :param models: the models that its engines run; empty for applications.
-    :param max_connections: how many connections one upstream accepts from all.
+    :param max_connections: the maximum number of connections that one upstream
+        accepts from all hosts together.
     """
 
     name: str
@@ -110,11 +111,11 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What callers may send, and how long they may take.
+    """Size limits and timeouts of callers' requests.
 
-    :param max_header_bytes: the bound on a request's head.
-    :param max_body_bytes: the bound on its body.
-    :param head_timeout_ms: how long the head may take to come.
+    :param max_header_bytes: the maximum size of a request head.
+    :param max_body_bytes: the maximum size of a request body.
+    :param head_timeout_ms: the timeout for receiving a request head.
     :param idle_timeout_ms: how long a connection may be idle between requests.
     """
 
@@ -127,7 +128,7 @@
 class RouteTable(msgspec.Struct, frozen=True):
     """All routes and services of one version of the configuration.
 
-    :param version: grows with each change, in uneven steps.
+    :param version: increases with each change, not always by one.
     :param routes_by_host: each host's routes, longest prefix first.
     :param services_by_name: the services.
     :param limits: the :class:`CallerLimits`.
@@ -141,7 +142,7 @@
     def match(self, host, path):
         """Return the route of a request, or None.
 
-        :param host: the host that the caller names, without its port.
+        :param host: the host name in the request, without its port.
         :param path: the path, without the query.
         """
         for route in self.routes_by_host.get(host, ()):
@@ -150,16 +151,16 @@
         return None
 
     def has_job_route(self, host):
-        """Tell whether a host has a route for batch jobs.
+        """Return whether a host has a route for batch jobs.
 
-        :param host: the host that the caller names.
+        :param host: the host name in the request.
         """
         routes = self.routes_by_host.get(host, ())
         return any(route.kind is RouteKind.JOB for route in routes)
 
 
 def group_by_host(routes):
-    """Return routes by their host, each host's longest prefix first.
+    """Group routes by host, with each host's longest prefix first.
 
     :param routes: an iterable of :class:`Route`.
     """
--- a/goldcrestmoor/version/configuration/store.py
+++ b/goldcrestmoor/version/configuration/store.py
@@ -1,4 +1,4 @@
-"""The configuration as it lies in the platform: a head row and documents."""
+"""The configuration as stored in the platform: a head row and documents."""
 
 import hashlib
 import logging
@@ -24,7 +24,7 @@
 
 
 class RecentToken(msgspec.Struct, frozen=True):
-    """The token of the write that made a version.
+    """The token of the write that created a version.
 
     :param version: the version.
     :param token: the write's token.
@@ -35,10 +35,10 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """What the head row holds.
+    """The content of the head row, which points to the current document.
 
-    :param version: the row's version, which is the configuration's.
-    :param token: the token of the write that made it.
+    :param version: the row's version, which is also the configuration's.
+    :param token: the token of the write that created the version.
     :param recent_tokens: the tokens of the last writes, this one included.
     :param document_key: the document's key in the object store.
     :param digest: SHA-256 of the document, in hexadecimal.
@@ -51,7 +51,7 @@
     digest: str = ""
 
     def has_token(self, token):
-        """Tell whether a write is among those that led to this head.
+        """Return whether a write is among the last ones that led to this head.
 
         :param token: the write's token.
         """
@@ -64,8 +64,8 @@
 class Written(msgspec.Struct, frozen=True):
     """A write that is known to have taken effect.
 
-    :param version: the version that it made.
-    :param known_at_ms: when this was learnt, on the clock's scale.
+    :param version: the version that the write created.
+    :param known_at_ms: when this became known, as a time of the clock.
     """
 
     version: int
@@ -73,9 +73,9 @@
 
 
 class SupersededWrite(msgspec.Struct, frozen=True):
-    """A write that never takes effect, since another came first.
+    """A write that never takes effect, because another one came first.
 
-    :param version: the version in the platform.
+    :param version: the platform's current version.
     """
 
     version: int
@@ -97,7 +97,7 @@
         self._objects = objects
 
     async def read_head(self):
-        """Return the platform's head; the empty one when none was ever written.
+        """Return the platform's head; the empty head when none was ever written.
 
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
@@ -107,7 +107,8 @@
         """Return the configuration that a head points to.
 
         :param head: the :class:`Head`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it cannot be read whole.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when the document is missing or
+            corrupt.
         """
         if head.version == 0:
             return Configuration()
@@ -115,12 +116,12 @@
         if data is None or _digest(data) != head.digest:
             raise ServiceError(
                 ErrorKind.PLATFORM_UNAVAILABLE,
-                f"The document of version {head.version} is missing or broken.",
+                f"The document of version {head.version} is missing or corrupt.",
             )
         return documents.decode(data)
 
     async def read_proposal(self):
-        """Return the last cut-off terms that were proposed, or None.
+        """Return the last stored proposal of cut-off terms, or None.
 
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
@@ -128,20 +129,20 @@
         return row and _decode(row, Proposal)
 
     async def save_proposal(self, proposal):
-        """Keep proposed cut-off terms where a starting host finds them.
+        """Store proposed cut-off terms where a starting host reads them.
 
         :param proposal: the ``Proposal``.
         :return: the proposal with its number, and the check that no other proposal
-            has taken its place, for :meth:`write`.
+            has replaced it, for :meth:`write`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``, or ``CONFIG_CONFLICT`` when
-            another change is under way.
+            another change is in progress.
         """
         row = await self._table.get(TABLE, PROPOSAL_KEY)
         version = row.version if row else 0
         proposal = msgspec.structs.replace(proposal, number=version + 1)
         write = Write(TABLE, PROPOSAL_KEY, msgspec.json.encode(proposal))
-        # With the head still at the base, whatever was proposed against it before
-        # has not been written, and from here on it never can be.
+        # While the head is still at the base, no earlier proposal for this base has
+        # been written, and replacing the row ensures that none ever can be.
         checks = [
             Check(TABLE, PROPOSAL_KEY, version),
             Check(TABLE, HEAD_KEY, proposal.base),
@@ -149,28 +150,29 @@
         try:
             answer = await self._table.transact(checks, [write])
         except ServiceError as e:
-            # A proposal changes nothing by itself, so that the operator's change
-            # surely was not made.
+            # A proposal alone changes nothing, so the operator's change was
+            # certainly not made.
             raise ServiceError(
-                ErrorKind.PLATFORM_UNAVAILABLE, f"The terms were not proposed: {e}"
+                ErrorKind.PLATFORM_UNAVAILABLE,
+                f"The cut-off terms could not be proposed: {e}",
             ) from e
         if isinstance(answer, CheckFailed):
             raise ServiceError(
-                ErrorKind.CONFIG_CONFLICT, "Another change is under way."
+                ErrorKind.CONFIG_CONFLICT, "Another change is in progress."
             )
         return proposal, Check(TABLE, PROPOSAL_KEY, version + 1)
 
     async def write(self, base, configuration, token, deadline, preconditions=()):
         """Write a configuration as the version after a head.
 
-        :param base: the :class:`Head` that it was made from.
+        :param base: the :class:`Head` that the configuration is based on.
         :param configuration: the new configuration.
-        :param token: the write's own token.
-        :param deadline: by when the outcome must be known.
+        :param token: the write's unique token.
+        :param deadline: the time by which the outcome must be known.
         :param preconditions: further checks that must hold.
         :return: :class:`Written` or :class:`SupersededWrite`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it surely was not
-            written, ``CONFIG_UNKNOWN`` when that cannot be told in time.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it certainly was not
+            written, ``CONFIG_UNKNOWN`` when the outcome is not known in time.
         """
         version = base.version + 1
         numbered = msgspec.structs.replace(configuration, version=version)
@@ -184,15 +186,18 @@
         except ServiceError as e:
             if e.kind != ErrorKind.OUTCOME_UNKNOWN:
                 raise
-        log.warning("The answer to the write of version %d was lost.", version)
+        log.warning(
+            "The write of version %d got no reply; reading the head for its outcome.",
+            version,
+        )
         return await self._resolve_outcome(base, head, deadline, preconditions)
 
     async def _put_document(self, key, data):
         try:
             await self._objects.put(key, data)
         except ServiceError as e:
-            # No head points to the document yet, so that a lost answer to this
-            # put leaves the configuration as it was.
+            # No head points to the document yet, so the configuration is unchanged
+            # even if the document was stored and only the reply was lost.
             raise ServiceError(
                 ErrorKind.PLATFORM_UNAVAILABLE, f"The document was not stored: {e}"
             ) from e
@@ -206,12 +211,14 @@
                 return Written(head.version, self._clock.now_ms())
             case CheckFailed():
                 return self._outcome_of(await self.read_head(), head)
-        raise ServiceError(ErrorKind.INTERNAL, "The table client's answer is unknown.")
+        raise ServiceError(
+            ErrorKind.INTERNAL, "The table client returned an unexpected result."
+        )
 
     async def _resolve_outcome(self, base, head, deadline, preconditions):
-        # The head still at its base does not tell that the write failed: it may
-        # be on its way. Sending it again is safe, as of two writes against one
-        # base at most one takes effect, and it makes the outcome certain.
+        # A head that is still at the base does not prove that the write failed, as it
+        # may still be in flight. Sending it again is safe, because at most one of two
+        # writes with the same base takes effect, and it makes the outcome certain.
         backoff = Backoff(RESOLVE_BACKOFF_MIN_MS, RESOLVE_BACKOFF_MAX_MS)
         while not deadline.passed():
             try:
@@ -222,9 +229,9 @@
             except ServiceError as e:
                 if e.kind == ErrorKind.CONFIG_UNKNOWN:
                     raise
-                # A resend that was surely not written tells nothing about the
-                # first one, so that only the platform's head can.
-                log.info("Version %d is not settled yet: %s", head.version, e)
+                # A failed resend says nothing about the first write, so only the
+                # platform's head can give the outcome.
+                log.info("Outcome of version %d is not known yet: %s", head.version, e)
             delay_ms = min(backoff.next_ms(), deadline.remaining_ms())
             await self._clock.sleep_ms(delay_ms)
         raise _unknown_outcome(head.version)
