--- a/test/_configuration.py
+++ b/test/_configuration.py
@@ -21,7 +21,7 @@
 """
 
 
-def changing(text):
+def change_function(text):
     return functools.partial(apply_changes, changes=parse(text).statements)
 
 
@@ -87,12 +87,12 @@
         self.gate = None
         self.gated_task = None
 
-    def _reach(self):
+    def _check_reachable(self):
         if self.cut:
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE)
 
     async def get(self, *key):
-        self._reach()
+        self._check_reachable()
         if len(key) == 1:
             return self.platform.data_by_key.get(key[0])
         row = self.platform.read(key)
@@ -103,31 +103,31 @@
         return row
 
     async def put(self, key, data):
-        self._reach()
+        self._check_reachable()
         self.platform.data_by_key[key] = data
 
     async def transact(self, checks, writes):
         platform = self.platform
         if platform.before_write is not None:
             await platform.before_write()
-        self._reach()
+        self._check_reachable()
         if platform.lose_before:
             platform.lose_before -= 1
-            self._lose()
+            self._lose_reply()
         answer = platform.transact(checks, writes)
         if platform.lose_after:
             platform.lose_after -= 1
-            self._lose()
+            self._lose_reply()
         return answer
 
-    def _lose(self):
+    def _lose_reply(self):
         if self.platform.cut_when_lost:
             self.platform.cut_when_lost -= 1
             self.cut = True
         raise ServiceError(ErrorKind.OUTCOME_UNKNOWN)
 
     async def fetch(self):
-        self._reach()
+        self._check_reachable()
         return [
             types.SimpleNamespace(id=host_id, kind="host", state="live")
             for host_id in self.platform.host_ids
@@ -245,7 +245,7 @@
             await host.lease.poll()
 
     async def set_up(self):
-        answer = await self.hosts["h0"].driver.change(0, changing(INITIAL))
+        answer = await self.hosts["h0"].driver.change(0, change_function(INITIAL))
         assert isinstance(answer, Accepted), answer
         await self.poll_all()
 
--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -23,14 +23,14 @@
 from goldcrestmoor.version.configuration.messages import PrepareCutOff
 from goldcrestmoor.version.configuration.store import Head
 from test import _common
-from test._configuration import World, changing
+from test._configuration import World, change_function
 
-SHARE_OF_TISZA = "ALTER ACCOUNT tisza SHARE %d"
-TERMS_OF_TISZA = "ALTER ACCOUNT tisza CUTOFF STALENESS %d"
+ALTER_TISZA_SHARE = "ALTER ACCOUNT tisza SHARE %d"
+ALTER_TISZA_CUTOFF_STALENESS = "ALTER ACCOUNT tisza CUTOFF STALENESS %d"
 
 
 class DocumentTest(unittest.TestCase):
-    def test_only_a_whole_document_is_decoded(self):
+    def test_only_a_complete_document_is_decoded(self):
         data = documents.encode(Configuration(7))
         self.assertEqual(documents.decode(data), Configuration(7))
         for broken in (b"", b"{}", data[:-1], data[:-9], b"x" + data):
@@ -46,35 +46,37 @@
         await self.world.set_up()
 
     async def change(self, text, host=None, base=None):
-        return await (host or self.h0).driver.change(base, changing(text))
+        return await (host or self.h0).driver.change(base, change_function(text))
 
-    async def test_accepted_comes_only_after_every_older_read_has_run_out(self):
+    async def test_a_change_is_accepted_only_after_older_leases_have_expired(self):
         settings = self.world.settings
-        answer = await self.change(SHARE_OF_TISZA % 5)
+        answer = await self.change(ALTER_TISZA_SHARE % 5)
         self.assertEqual(answer.version, 2)
         self.assertGreaterEqual(
             answer.elapsed_ms, settings.lease_ms + settings.lease_margin_ms
         )
         self.assertLessEqual(answer.elapsed_ms, 15_000)
 
-    async def test_of_two_operators_one_is_refused_with_the_current_version(self):
+    async def test_of_two_concurrent_changes_one_is_rejected_with_the_current_version(
+        self,
+    ):
         answers = await asyncio.gather(
-            self.change(SHARE_OF_TISZA % 5, self.h0, 1),
-            self.change(SHARE_OF_TISZA % 6, self.h1, 1),
+            self.change(ALTER_TISZA_SHARE % 5, self.h0, 1),
+            self.change(ALTER_TISZA_SHARE % 6, self.h1, 1),
         )
         self.assertEqual({type(answer) for answer in answers}, {Accepted, Refused})
         refused = next(a for a in answers if isinstance(a, Refused))
         self.assertEqual((refused.kind, refused.version), ("config_conflict", 2))
 
-    async def test_a_lost_answer_is_settled_whether_or_not_it_was_written(self):
+    async def test_a_lost_reply_is_resolved_whether_or_not_the_write_took_effect(self):
         for fault in ("lose_after", "lose_before"):
             setattr(self.platform, fault, 1)
             before = self.platform.writes
-            answer = await self.change(SHARE_OF_TISZA % 5)
+            answer = await self.change(ALTER_TISZA_SHARE % 5)
             self.assertIsInstance(answer, Accepted)
             self.assertEqual(self.platform.writes, before + 1)
 
-    async def test_a_lost_answer_that_a_later_write_hides_is_still_found(self):
+    async def test_a_lost_reply_is_resolved_after_a_later_write(self):
         store = self.h1.driver._store
 
         async def overtake():
@@ -83,24 +85,24 @@
             await store.write(head, self.h1.lease.configuration, "other", deadline)
 
         self.platform.lose_after = 1
-        self._once_written(overtake)
-        answer = await self.change(SHARE_OF_TISZA % 5)
+        self._after_write(overtake)
+        answer = await self.change(ALTER_TISZA_SHARE % 5)
         self.assertEqual((type(answer), answer.version), (Accepted, 2))
         self.assertEqual((await store.read_head()).version, 3)
 
-    async def test_an_unsettled_write_is_unknown_in_time(self):
+    async def test_an_unresolved_write_is_unknown_within_the_deadline(self):
         async def cut():
             self.h0.platform.cut = True
 
         self.platform.lose_after = 1
-        self._once_written(cut)
+        self._after_write(cut)
         started_ms = self.clock.now_ms()
-        answer = await self.change(SHARE_OF_TISZA % 5)
+        answer = await self.change(ALTER_TISZA_SHARE % 5)
         self.assertIsInstance(answer, Unknown)
         self.assertLessEqual(self.clock.now_ms() - started_ms, 15_000)
 
-    async def test_a_host_frozen_across_the_change_wakes_to_cut_off_terms(self):
-        await self.change(SHARE_OF_TISZA % 5)
+    async def test_a_host_paused_during_a_change_resumes_with_cut_off_terms(self):
+        await self.change(ALTER_TISZA_SHARE % 5)
         view = self.h1.lease.view()
         self.assertTrue(view.lease_expired)
         account = view.configuration.accounts_by_name["tisza"]
@@ -108,15 +110,15 @@
         self.assertNotIn("derwent", view.configuration.accounts_by_name)
         self.assertIn("u1", view.configuration.upstreams_by_name)
 
-    async def test_the_lease_counts_from_when_the_read_was_sent(self):
+    async def test_the_lease_starts_when_the_read_is_sent(self):
         await self.h1.begin_poll()
         self.world.lapse()
         await self.h1.end_poll()
         self.assertTrue(self.h1.lease.view().lease_expired)
 
-    async def test_an_older_head_is_never_adopted_nor_renews(self):
+    async def test_an_older_head_is_not_adopted_and_renews_no_lease(self):
         old = dict(self.platform.row_by_key)
-        await self.change(SHARE_OF_TISZA % 5)
+        await self.change(ALTER_TISZA_SHARE % 5)
         await self.world.poll_all()
         self.platform.row_by_key = old
         self.world.lapse()
@@ -124,38 +126,38 @@
         self.assertTrue(self.h1.lease.view().lease_expired)
         self.assertEqual(self.h1.lease.version, 2)
 
-    async def test_a_broken_document_neither_is_adopted_nor_renews(self):
-        await self.change(SHARE_OF_TISZA % 5)
+    async def test_a_corrupt_document_is_not_adopted_and_renews_no_lease(self):
+        await self.change(ALTER_TISZA_SHARE % 5)
         for key in self.platform.data_by_key:
             self.platform.data_by_key[key] = b"{}"
         self.assertFalse(await self.h1.lease.poll())
         self.assertEqual(self.h1.lease.version, 1)
 
-    async def test_new_cut_off_terms_are_refused_naming_the_silent_hosts(self):
+    async def test_a_rejection_of_cut_off_terms_names_the_unresponsive_hosts(self):
         self.world.network.silent = {"h1", "h2"}
-        answer = await self.change(TERMS_OF_TISZA % 1)
+        answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1)
         self.assertIsInstance(answer, Refused)
         self.assertEqual(answer.unresponsive_hosts, ("h1", "h2"))
         self.assertIn("h1, h2", answer.reason)
-        self.assertIsInstance(await self.change(SHARE_OF_TISZA % 5), Accepted)
+        self.assertIsInstance(await self.change(ALTER_TISZA_SHARE % 5), Accepted)
 
-    async def test_terms_in_doubt_are_the_stricter_until_a_newer_head(self):
+    async def test_pending_terms_are_the_stricter_ones_until_a_newer_head(self):
         self.world.network.silent = {"h2"}
-        await self.change(TERMS_OF_TISZA % 1)
+        await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1)
         self.world.lapse()
         self.assertEqual(self._staleness(self.h1), 1)
-        await self.change(SHARE_OF_TISZA % 5)
+        await self.change(ALTER_TISZA_SHARE % 5)
         await self.world.poll_all()
         self.world.lapse()
         self.assertEqual(self._staleness(self.h1), 2)
 
-    async def test_looser_terms_in_doubt_leave_the_old_ones(self):
+    async def test_looser_pending_terms_leave_the_old_ones(self):
         self.h1.platform.cut = True
-        answer = await self.change(TERMS_OF_TISZA % 3)
+        answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % 3)
         self.assertIsInstance(answer, Accepted)
         self.assertEqual(self._staleness(self.h1), 2)
 
-    async def test_a_new_token_in_doubt_lets_neither_token_in(self):
+    async def test_a_pending_new_token_accepts_neither_token(self):
         self.world.network.silent = {"h2"}
         await self.change("ALTER ACCOUNT tisza TOKEN 'new'")
         self.world.lapse()
@@ -164,7 +166,7 @@
             (view.lease_expired, view.configuration.accounts_by_name), (True, {})
         )
 
-    async def test_a_dropped_account_is_not_served_by_a_host_that_lapsed(self):
+    async def test_a_dropped_account_is_not_served_after_the_lease_has_expired(self):
         self.h1.platform.cut = True
         answer = await self.change("DROP ACCOUNT tisza")
         self.assertIsInstance(answer, Accepted)
@@ -173,41 +175,43 @@
             (view.lease_expired, view.configuration.accounts_by_name), (True, {})
         )
 
-    async def test_a_peer_offers_only_what_is_left_of_its_lease(self):
+    async def test_a_peer_offers_only_the_rest_of_its_lease(self):
         self.clock.ms += 4000
-        late = self.world.start_host("h3")
-        late.platform.cut = True
-        self.h0.links.after_answer = functools.partial(self._pass_ms, 1000)
-        self.assertFalse(await late.lease.poll())
-        await late.lease.fetch_from_peers()
-        self.assertTrue(late.lease.ready())
-        self.assertFalse(late.lease.view().lease_expired)
+        late_host = self.world.start_host("h3")
+        late_host.platform.cut = True
+        self.h0.links.after_answer = functools.partial(self._advance_ms, 1000)
+        self.assertFalse(await late_host.lease.poll())
+        await late_host.lease.fetch_from_peers()
+        self.assertTrue(late_host.lease.ready())
+        self.assertFalse(late_host.lease.view().lease_expired)
         end_ms = self.h0.lease._lease_end_ms
         self.clock.ms = end_ms
-        self.assertTrue(late.lease.view().lease_expired)
+        self.assertTrue(late_host.lease.view().lease_expired)
 
-    async def test_a_lapsed_peer_offers_a_lapsed_view(self):
+    async def test_a_peer_with_an_expired_lease_offers_an_expired_view(self):
         self.world.lapse()
-        late = self.world.start_host("h3")
-        late.platform.cut = True
-        await late.lease.fetch_from_peers()
-        view = late.lease.view()
-        self.assertEqual((view.lease_expired, late.lease.version), (True, 1))
+        late_host = self.world.start_host("h3")
+        late_host.platform.cut = True
+        await late_host.lease.fetch_from_peers()
+        view = late_host.lease.view()
+        self.assertEqual((view.lease_expired, late_host.lease.version), (True, 1))
         self.assertEqual(list(view.configuration.accounts_by_name), ["tisza"])
 
-    async def test_hosts_that_were_handed_terms_must_acknowledge_too(self):
-        late = self.world.start_host("h3")
-        late.platform.cut = True
-        await late.lease.fetch_from_peers()
+    async def test_hosts_that_received_terms_from_a_peer_must_acknowledge(self):
+        late_host = self.world.start_host("h3")
+        late_host.platform.cut = True
+        await late_host.lease.fetch_from_peers()
         self.platform.host_ids.remove("h3")
         del self.world.network.incarnation_by_host["h3"]
-        self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
-        self.assertEqual(self._staleness(late), 1)
+        self.assertIsInstance(
+            await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1), Accepted
+        )
+        self.assertEqual(self._staleness(late_host), 1)
         self.world.network.silent = {"h3"}
-        answer = await self.change(TERMS_OF_TISZA % 0)
+        answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % 0)
         self.assertEqual(answer.unresponsive_hosts, ("h3",))
 
-    async def test_a_host_that_took_an_offer_after_its_restart_is_asked_again(self):
+    async def test_a_restarted_host_that_fetched_from_a_peer_is_asked_again(self):
         async def restart_h1(message):
             if isinstance(message, PrepareCutOff):
                 self.h2.links.before_answer = None
@@ -217,21 +221,23 @@
                 await restarted.lease.fetch_from_peers()
 
         self.h2.links.before_answer = restart_h1
-        self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
+        self.assertIsInstance(
+            await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1), Accepted
+        )
         restarted = self.world.hosts["h1"]
         self.assertIsNot(restarted, self.h1)
         self.assertEqual(self._staleness(restarted), 1)
 
-    async def test_an_offer_carries_the_terms_in_doubt(self):
+    async def test_an_offer_contains_the_pending_terms(self):
         self.world.network.silent = {"h2"}
-        await self.change(TERMS_OF_TISZA % 1)
-        late = self.world.start_host("h3")
-        late.platform.cut = True
-        await late.lease.fetch_from_peers()
+        await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1)
+        late_host = self.world.start_host("h3")
+        late_host.platform.cut = True
+        await late_host.lease.fetch_from_peers()
         self.world.lapse()
-        self.assertEqual(self._staleness(late), 1)
+        self.assertEqual(self._staleness(late_host), 1)
 
-    async def test_of_two_proposals_only_the_later_may_come_into_force(self):
+    async def test_of_two_proposals_only_the_later_can_take_effect(self):
         writes = []
 
         async def propose_another():
@@ -240,23 +246,25 @@
                 await self.h1.driver._store.save_proposal(Proposal("other", 1))
 
         self.platform.before_write = propose_another
-        answer = await self.change(TERMS_OF_TISZA % 1)
+        answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1)
         self.assertEqual((type(answer), answer.version), (Refused, 1))
 
     async def test_refused_terms_leave_room_for_later_ones(self):
         self.world.network.silent = {"h2"}
         for bound in range(MAX_PROPOSALS + 1):
-            answer = await self.change(TERMS_OF_TISZA % (bound % 2))
+            answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % (bound % 2))
             self.assertEqual(answer.unresponsive_hosts, ("h2",))
         self.world.network.silent = set()
-        self.assertIsInstance(await self.change(TERMS_OF_TISZA % 1), Accepted)
+        self.assertIsInstance(
+            await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1), Accepted
+        )
 
-    async def test_a_host_that_starts_while_terms_are_proposed_learns_of_them(self):
+    async def test_a_host_that_starts_during_a_proposal_reads_it(self):
         async def start():
             self.platform.before_write = None
-            late = self.world.start_host("h3")
-            await late.lease.poll()
-            late.platform.cut = True
+            late_host = self.world.start_host("h3")
+            await late_host.lease.poll()
+            late_host.platform.cut = True
 
         writes = []
 
@@ -266,26 +274,26 @@
                 await start()
 
         self.platform.before_write = before_write
-        answer = await self.change(TERMS_OF_TISZA % 1)
+        answer = await self.change(ALTER_TISZA_CUTOFF_STALENESS % 1)
         self.assertIsInstance(answer, Accepted)
-        late = self.world.hosts["h3"]
-        self.assertEqual((late.lease.version, self._staleness(late)), (1, 1))
+        late_host = self.world.hosts["h3"]
+        self.assertEqual((late_host.lease.version, self._staleness(late_host)), (1, 1))
 
-    async def test_a_change_that_makes_no_sense_is_refused(self):
+    async def test_an_invalid_change_is_rejected(self):
         answer = await self.change("ALTER ACCOUNT tisza POOLS (gone)")
         self.assertEqual((type(answer), answer.version), (Refused, 1))
         answer = await self.change("DROP ACCOUNT gone")
         self.assertEqual(answer.kind, ErrorKind.NOT_FOUND)
 
-    async def test_with_the_platform_down_a_change_is_refused(self):
+    async def test_a_change_is_rejected_while_the_platform_is_unavailable(self):
         self.h0.platform.cut = True
-        answer = await self.change(SHARE_OF_TISZA % 5)
+        answer = await self.change(ALTER_TISZA_SHARE % 5)
         self.assertEqual(answer.kind, ErrorKind.PLATFORM_UNAVAILABLE)
 
-    async def test_polling_adopts_and_tells(self):
+    async def test_polling_adopts_and_calls_back(self):
         adopted = []
         self.h1.lease.add_callback(adopted.append)
-        await self.change(SHARE_OF_TISZA % 5)
+        await self.change(ALTER_TISZA_SHARE % 5)
         task = asyncio.create_task(self.h1.lease.run())
         await _common.eventually(lambda: adopted)
         task.cancel()
@@ -296,7 +304,7 @@
         self.assertTrue(view.lease_expired)
         return view.configuration.accounts_by_name["tisza"].staleness_bound
 
-    def _once_written(self, act):
+    def _after_write(self, act):
         """Act before the first read of the driving host after its write."""
         read = self.h0.platform.get
         writes = self.platform.writes
@@ -309,14 +317,14 @@
 
         self.h0.platform.get = get
 
-    def _pass_ms(self, duration_ms):
+    def _advance_ms(self, duration_ms):
         self.clock.ms += duration_ms
 
 
-TEXTS = (
-    SHARE_OF_TISZA % 7,
-    TERMS_OF_TISZA % 1,
-    TERMS_OF_TISZA % 3,
+STATEMENTS = (
+    ALTER_TISZA_SHARE % 7,
+    ALTER_TISZA_CUTOFF_STALENESS % 1,
+    ALTER_TISZA_CUTOFF_STALENESS % 3,
     "DROP ACCOUNT tisza",
     "CREATE ACCOUNT tisza KIND trainer TOKEN 'c' POOLS (lm) SHARE 2",
     "DROP UPSTREAM u1",
@@ -337,14 +345,14 @@
     ),
     strategies.just(("speak", 0)),
 )
-RACERS = strategies.tuples(HOSTS, strategies.sampled_from(TEXTS))
+HOST_AND_STATEMENT = strategies.tuples(HOSTS, strategies.sampled_from(STATEMENTS))
 CHANGES = strategies.tuples(
-    strategies.lists(RACERS, min_size=1, max_size=2),
+    strategies.lists(HOST_AND_STATEMENT, min_size=1, max_size=2),
     strategies.lists(ACTIONS, max_size=10),
 )
 
 
-class History:
+class ChangeSequence:
     """A run of changes with other events between their steps."""
 
     def __init__(self):
@@ -357,9 +365,9 @@
         world = self.world
         await world.set_up()
         world.clock.on_sleep = world.platform.before_write = self.step
-        for racers, actions in changes:
+        for concurrent, actions in changes:
             self.actions = list(actions)
-            await asyncio.gather(*(self._change(*racer) for racer in racers))
+            await asyncio.gather(*(self._change(*args) for args in concurrent))
             while self.actions:
                 await self.step()
         for host in world.hosts.values():
@@ -367,7 +375,7 @@
 
     async def _change(self, number, text):
         driver = self.world.hosts[f"h{number}"].driver
-        answer = await driver.change(None, changing(text))
+        answer = await driver.change(None, change_function(text))
         self.outcomes.append(type(answer))
         if isinstance(answer, Accepted) and answer.version > self.accepted[0]:
             self.accepted = answer.version, self._document(answer.version)
@@ -407,10 +415,10 @@
     async def _restart(self, host):
         await host.end_poll()
         incarnation = self.world.network.incarnation_by_host[host.id] + 1
-        started = self.world.start_host(host.id, incarnation)
-        started.platform.cut = host.platform.cut
-        if not await started.lease.poll():
-            await started.lease.fetch_from_peers()
+        restarted_host = self.world.start_host(host.id, incarnation)
+        restarted_host.platform.cut = host.platform.cut
+        if not await restarted_host.lease.poll():
+            await restarted_host.lease.fetch_from_peers()
 
     def _document(self, version):
         # The losers of a race have left documents of the same version behind.
@@ -452,7 +460,7 @@
 
 
 # Two losers and the winner of a race wrote documents of version 2.
-LOSERS_DOCUMENT = [
+RACE_FOR_ONE_VERSION = [
     (
         [(0, "DROP UPSTREAM u1"), (0, "DROP ACCOUNT tisza")],
         [
@@ -467,17 +475,17 @@
 ]
 
 
-class HistoryTest(unittest.TestCase):
-    def test_after_accepted_no_host_acts_on_older_terms(self):
+class ChangeSequenceTest(unittest.TestCase):
+    def test_after_acceptance_no_host_uses_older_terms(self):
         outcomes = set()
 
         @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
         @given(strategies.lists(CHANGES, min_size=1, max_size=5))
-        @example(LOSERS_DOCUMENT)
+        @example(RACE_FOR_ONE_VERSION)
         def run(changes):
-            history = History()
-            asyncio.run(history.run(changes))
-            outcomes.update(history.outcomes)
+            sequence = ChangeSequence()
+            asyncio.run(sequence.run(changes))
+            outcomes.update(sequence.outcomes)
 
         run()
         self.assertEqual({Accepted, Refused, Unknown}, outcomes)
