--- a/test/_configuration.py
+++ b/test/_configuration.py
@@ -26,7 +26,7 @@
 
 
 class FakeClock:
-    """A clock that moves only when told to, and while somebody sleeps."""
+    """A clock that advances only when set, and during sleeps."""
 
     def __init__(self):
         self.ms = 1_000_000
@@ -47,7 +47,7 @@
 
 
 class FakePlatform:
-    """A table service and an object store that lose answers and go down."""
+    """A table service and an object store that lose replies and become unavailable."""
 
     def __init__(self):
         self.row_by_key = {}
@@ -79,7 +79,7 @@
 
 
 class PlatformClient:
-    """One host's way to the platform: its table, object and host list clients."""
+    """One host's connection to the platform: table, object and host list clients."""
 
     def __init__(self, platform):
         self.platform = platform
@@ -96,7 +96,7 @@
         if len(key) == 1:
             return self.platform.data_by_key.get(key[0])
         row = self.platform.read(key)
-        # Only the poll is held up, not a driver that shares this client.
+        # Only the poll is delayed, not a driver that shares this client.
         if asyncio.current_task() is self.gated_task:
             self.gated_task = None
             await self.gate.wait()
@@ -135,7 +135,7 @@
 
 
 class FakeNetwork:
-    """The peer links of several hosts, and the hosts that they believe alive."""
+    """The peer links of several hosts, and the hosts that they consider alive."""
 
     def __init__(self):
         self.links_by_host = {}
@@ -181,7 +181,7 @@
 
 
 class Host:
-    """One host: its lease and its driver over fakes."""
+    """One host: its lease and its driver, connected to fakes."""
 
     def __init__(self, world, host_id, incarnation=1):
         self.id = host_id
@@ -207,7 +207,7 @@
         )
 
     async def begin_poll(self):
-        """Read the head now; the answer arrives with :meth:`end_poll`."""
+        """Read the head now; the reply arrives with :meth:`end_poll`."""
         if self.poll_task is None:
             self.gate = self.platform.gate = asyncio.Event()
             self.poll_task = asyncio.ensure_future(self.lease.poll())
--- a/test/test_configuration.py
+++ b/test/test_configuration.py
@@ -1,4 +1,4 @@
-"""A change of the configuration holds everywhere once it is accepted."""
+"""Tests that an accepted configuration change is in effect on all hosts."""
 
 import asyncio
 import functools
@@ -305,7 +305,7 @@
         return view.configuration.accounts_by_name["tisza"].staleness_bound
 
     def _after_write(self, act):
-        """Act before the first read of the driving host after its write."""
+        """Call a function before the first read that follows the driver's write."""
         read = self.h0.platform.get
         writes = self.platform.writes
 
@@ -353,7 +353,7 @@
 
 
 class ChangeSequence:
-    """A run of changes with other events between their steps."""
+    """A sequence of changes, with faults and other events between their steps."""
 
     def __init__(self):
         self.world = World(3)
@@ -421,7 +421,7 @@
             await restarted_host.lease.fetch_from_peers()
 
     def _document(self, version):
-        # The losers of a race have left documents of the same version behind.
+        # Writers that lost a race also leave documents of the same version.
         platform = self.world.platform
         row = platform.read(("configuration", "head"))
         head = msgspec.json.decode(row.value, type=Head)
@@ -449,7 +449,7 @@
 
 
 def _as_proposal(part, bound):
-    """Return the proposal that allows of a part only what a bound allows."""
+    """Return the proposal that reduces a part to what a bound allows."""
     accounts = {
         name: bound.accounts_by_name.get(name) for name in part.accounts_by_name
     }
@@ -459,7 +459,7 @@
     return Proposal("", 0, accounts, places)
 
 
-# Two losers and the winner of a race wrote documents of version 2.
+# Three writers race and each writes a document of version 2; only one wins.
 RACE_FOR_ONE_VERSION = [
     (
         [(0, "DROP UPSTREAM u1"), (0, "DROP ACCOUNT tisza")],
