--- a/goldcrestmoor/version/steps/partial_outputs.py
+++ b/goldcrestmoor/version/steps/partial_outputs.py
@@ -6,17 +6,17 @@
 class PartialOutputs:
     """Keep the longest of each slot's failed streams.
 
-    :param is_on: whether anything is kept at all.
+    :param is_enabled: whether anything is kept at all.
     :param partials: the ``Partial`` texts
         that an earlier holder's streams had come to.
     """
 
-    __slots__ = ("_is_on", "_chunks_by_slot")
+    __slots__ = ("_is_enabled", "_chunks_by_slot")
 
-    def __init__(self, is_on, partials=()):
-        self._is_on = is_on
+    def __init__(self, is_enabled, partials=()):
+        self._is_enabled = is_enabled
         self._chunks_by_slot = {}
-        if is_on:
+        if is_enabled:
             for partial in partials:
                 chunks = [
                     TokenChunk(s.text, s.tokens, s.version, "")
@@ -24,13 +24,13 @@
                 ]
                 self._chunks_by_slot[partial.slot] = chunks
 
-    def keep(self, stream):
+    def save(self, stream):
         """Keep the pieces of a stream that failed.
 
         :param stream: the :class:`~goldcrestmoor.version.steps.step_stream.Stream`.
         """
-        kept = self._chunks_by_slot.get(stream.slot, ())
-        if self._is_on and len(stream.chunks) > len(kept):
+        saved = self._chunks_by_slot.get(stream.slot, ())
+        if self._is_enabled and len(stream.chunks) > len(saved):
             self._chunks_by_slot[stream.slot] = stream.chunks
 
     def take(self, slot, max_tokens, oldest_version):
--- a/goldcrestmoor/version/steps/step_gateway.py
+++ b/goldcrestmoor/version/steps/step_gateway.py
@@ -7,7 +7,11 @@
     PullSamples,
     SubmitStep,
 )
-from goldcrestmoor.version.steps.steps import check, check_name, oldest_version
+from goldcrestmoor.version.steps.steps import (
+    oldest_version,
+    validate_spec,
+    validate_step_name,
+)
 
 PULL_SLICE_MS = 500
 CALL_MARGIN_MS = 500
@@ -47,8 +51,8 @@
         :param spec: the :class:`~goldcrestmoor.version.steps.steps.StepSpec`.
         :raises ServiceError: ``STEP_CONFLICT``, ``PLATFORM_UNAVAILABLE`` and others.
         """
-        check(spec)
-        await self._router.at_holder(
+        validate_spec(spec)
+        await self._router.call_holder(
             spec.account,
             spec.step,
             SubmitStep(spec),
@@ -63,7 +67,7 @@
         :return: the :class:`PulledSamples`.
         :raises ServiceError: ``STEP_UNKNOWN`` when the step has to be submitted.
         """
-        check_name(message.step)
+        validate_step_name(message.step)
         started_ms = self._clock.now_ms()
         wait_ms = min(message.wait_ms, self._settings.pull_wait_ms)
         deadline = Deadline.after(self._clock, wait_ms)
@@ -72,15 +76,15 @@
             # meanwhile is noticed long before the caller's own wait is over.
             slice_ms = min(deadline.remaining_ms(), PULL_SLICE_MS)
             limit = min(message.max_samples, self._settings.max_pull_samples)
-            part = _with_wait(message, slice_ms, limit)
-            answer = await self._router.at_holder(
+            message_slice = _with_limits(message, slice_ms, limit)
+            answer = await self._router.call_holder(
                 message.account,
                 message.step,
-                part,
+                message_slice,
                 slice_ms + CALL_MARGIN_MS,
                 self._holder.on_pull,
             )
-            answer = self._fresh(message, answer)
+            answer = self._without_stale(message, answer)
             if answer.samples or answer.complete or deadline.passed():
                 break
         idle_ms = self._clock.now_ms() - started_ms
@@ -93,13 +97,13 @@
         :param account: the account's name.
         :param step: the step's name.
         """
-        check_name(step)
+        validate_step_name(step)
         message = CancelStep(account, step)
-        await self._router.at_holder(
+        await self._router.call_holder(
             account, step, message, SUBMIT_TIMEOUT_MS, self._holder.on_cancel
         )
 
-    def _fresh(self, message, answer):
+    def _without_stale(self, message, answer):
         """Return an answer without what went stale on its way from the holder."""
         model = self._router.model(answer.pool)
         published = self._versions.published_by(message.account, model)
@@ -111,7 +115,7 @@
         return PulledSamples(fresh, False, answer.pool)
 
 
-def _with_wait(message, wait_ms, max_samples):
+def _with_limits(message, wait_ms, max_samples):
     return PullSamples(
         message.account,
         message.step,
--- a/goldcrestmoor/version/steps/step_holder.py
+++ b/goldcrestmoor/version/steps/step_holder.py
@@ -17,18 +17,18 @@
 from goldcrestmoor.version.steps.step_run import StepRun
 from goldcrestmoor.version.steps.step_state import StepState
 from goldcrestmoor.version.steps.step_store import LoadedStep
-from goldcrestmoor.version.steps.steps import Held, digest_of, oldest_version
+from goldcrestmoor.version.steps.steps import HeldSlots, oldest_version, spec_digest
 
 log = logging.getLogger("goldcrestmoor.steps")
 
 MAX_STEPS = 64
-UNWANTED_MS = 5000
+RECENT_PULL_MS = 5000
 HAND_OVER_TIMEOUT_MS = 5000
 HAND_OVER_POLL_MS = 20
 MAX_HAND_OVER_CHARACTERS = 2_000_000
 
 
-class _Work:
+class _ActiveStep:
     """A step held here, and the run that works on it in a task."""
 
     __slots__ = ("state", "run", "task")
@@ -79,8 +79,8 @@
         self._settings = settings.steps
         self._start_order = policies.start_order(settings.policy)
         self._policy = settings.policy
-        self._work_by_key = {}
-        self._loading_by_key = {}
+        self._active_by_key = {}
+        self._load_task_by_key = {}
         self._tasks = util.TaskGroup()
         self._is_leaving = False
         links.register(PullSamples, self.on_pull)
@@ -89,31 +89,33 @@
 
     def steps(self):
         """Return the states of the steps held here."""
-        return [work.state for work in self._work_by_key.values()]
+        return [active.state for active in self._active_by_key.values()]
 
     async def hand_over(self):
         """Give up the steps held here, once what was made is kept elsewhere."""
         self._is_leaving = True
         deadline = Deadline.after(self._clock, HAND_OVER_TIMEOUT_MS)
-        while not deadline.passed() and not all(s.settled() for s in self.steps()):
+        while not deadline.passed() and not all(
+            s.is_fully_deliverable() for s in self.steps()
+        ):
             await self._clock.sleep_ms(HAND_OVER_POLL_MS)
-        handed = (self._hand_over_one(key) for key in list(self._work_by_key))
-        await asyncio.gather(*handed)
+        hand_overs = (self._hand_over_step(key) for key in list(self._active_by_key))
+        await asyncio.gather(*hand_overs)
         await self.close()
 
-    async def _hand_over_one(self, key):
+    async def _hand_over_step(self, key):
         # Pulls are answered here until the next holder can find all that was made.
-        work = self._work_by_key[key]
-        partials = _within(work.run.partials(), MAX_HAND_OVER_CHARACTERS)
-        state = work.state
+        active = self._active_by_key[key]
+        partials = _limit_size(active.run.partials(), MAX_HAND_OVER_CHARACTERS)
+        state = active.state
         await self._store.hand_over(state.spec, partials, state.zone)
-        await self._end(key)
-        state.wake()
+        await self._stop(key)
+        state.notify()
 
     async def close(self):
         """Stop all work."""
-        for loading in self._loading_by_key.values():
-            loading.cancel()
+        for load_task in self._load_task_by_key.values():
+            load_task.cancel()
         await self._tasks.close()
 
     async def on_submit(self, sender_id, message):
@@ -122,20 +124,20 @@
         :param sender_id: the asking host.
         :param message: the :class:`SubmitStep`.
         """
-        self._check_staying()
+        self._check_not_leaving()
         spec = message.spec
         zone = self._router.zone(spec.account)
-        work = self._work_by_key.get((spec.account, spec.step))
-        if work is not None:
-            if digest_of(work.state.spec) != digest_of(spec):
+        active = self._active_by_key.get((spec.account, spec.step))
+        if active is not None:
+            if spec_digest(active.state.spec) != spec_digest(spec):
                 raise ServiceError(
                     ErrorKind.STEP_CONFLICT, "The step was submitted with other groups."
                 )
             return wire.Done()
-        self._check_room()
+        self._check_capacity()
         place = await self._store.save_step(spec, zone)
         log.info("Step %s of %s is accepted on %s.", spec.step, spec.account, place)
-        await self._find(spec.account, spec.step, spec)
+        await self._get_or_load(spec.account, spec.step, spec)
         return wire.Done()
 
     async def on_pull(self, sender_id, message):
@@ -146,16 +148,16 @@
         :return: the :class:`PulledSamples`.
         """
         key = (message.account, message.step)
-        self._check_here(key)
-        state = await self._find(*key)
-        held = Held(frozenset(message.groups_held), frozenset(message.held))
-        state.note_pull(held, message.version, self._clock.now_ms())
+        self._check_accepts(key)
+        state = await self._get_or_load(*key)
+        held = HeldSlots(frozenset(message.groups_held), frozenset(message.held))
+        state.record_pull(held, message.version, self._clock.now_ms())
         deadline = Deadline.after(self._clock, message.wait_ms)
         while True:
-            self._check_here(key)
+            self._check_accepts(key)
             if state.is_superseded:
                 raise ServiceError(ErrorKind.DRAINING, "Another host holds the step.")
-            self._note_published(state)
+            self._record_published(state)
             bound = self._router.account(message.account).staleness_bound
             samples, complete = state.answer(held, bound, message.max_samples)
             if samples or complete or deadline.passed():
@@ -163,17 +165,17 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(deadline.remaining_s()):
                     await state.wait_changed()
-        self._note_delivery(state, samples)
+        self._record_delivery(state, samples)
         if complete and not samples:
-            self._tasks.start(self._forget(state))
+            self._tasks.start(self._delete_completed(state))
         return PulledSamples(samples, complete, state.spec.pool)
 
-    def _note_published(self, state):
+    def _record_published(self, state):
         # A trainer that has published a version has it, whichever its pulls named.
         model = self._router.model(state.spec.pool)
-        state.note_version(self._versions.published_by(state.spec.account, model))
+        state.record_version(self._versions.published_by(state.spec.account, model))
 
-    def _note_delivery(self, state, samples):
+    def _record_delivery(self, state, samples):
         account = state.spec.account
         for sample in samples:
             lag = state.trainer_version - oldest_version(sample)
@@ -188,31 +190,31 @@
         :param message: the :class:`CancelStep`.
         """
         key = (message.account, message.step)
-        await self._end(key)
+        await self._stop(key)
         await self._store.forget(*key, self._router.zone(message.account))
         await self._store.records.delete(*key)
         return wire.Done()
 
-    async def _find(self, account, step, spec=None):
+    async def _get_or_load(self, account, step, spec=None):
         key = (account, step)
-        work = self._work_by_key.get(key)
-        if work is not None:
-            return work.state
-        loading = self._loading_by_key.get(key)
-        if loading is None:
-            loading = asyncio.get_running_loop().create_task(self._load(key, spec))
-            self._loading_by_key[key] = loading
-            loading.add_done_callback(lambda _: self._loading_by_key.pop(key, None))
+        active = self._active_by_key.get(key)
+        if active is not None:
+            return active.state
+        load_task = self._load_task_by_key.get(key)
+        if load_task is None:
+            load_task = asyncio.get_running_loop().create_task(self._load(key, spec))
+            self._load_task_by_key[key] = load_task
+            load_task.add_done_callback(lambda _: self._load_task_by_key.pop(key, None))
         try:
-            return await asyncio.shield(loading)
+            return await asyncio.shield(load_task)
         except asyncio.CancelledError:
             # The load ends with this host; its callers go on to the next one.
-            if loading.cancelled():
-                self._check_staying()
+            if load_task.cancelled():
+                self._check_not_leaving()
             raise
 
     async def _load(self, key, spec):
-        self._check_room()
+        self._check_capacity()
         account, step = key
         zone = self._router.zone(account)
         try:
@@ -227,13 +229,13 @@
         state = StepState(loaded.spec, zone, deadline, self._clock.now_ms())
         state.holder_version = loaded.holder_version
         for record in loaded.groups:
-            state.adopt(record)
-        for sample in loaded.kept.samples:
+            state.apply_record(record)
+        for sample in loaded.replica.samples:
             if state.put(sample):
-                state.settle(sample, sample)
-        run = self._make_run(state, loaded.kept.partials)
+                state.confirm(sample, sample)
+        run = self._make_run(state, loaded.replica.partials)
         task = self._tasks.start(self._run(key, state, run))
-        self._work_by_key[key] = _Work(state, run, task)
+        self._active_by_key[key] = _ActiveStep(state, run, task)
         return state
 
     def _make_run(self, state, partials):
@@ -247,7 +249,7 @@
             decisions=self._decisions,
             metrics=self._metrics,
             hedge_percent=self._settings.hedge_percent if hedges else 0,
-            is_wanted=self._is_wanted,
+            should_continue=self._should_continue,
             start_order=self._start_order,
             resumes=self._policy.stragglers != "restart",
             drops_early=self._policy.drop_early,
@@ -256,44 +258,44 @@
 
     async def _run(self, key, state, run):
         await run.run()
-        work = self._work_by_key.get(key)
-        if work is not None and work.state is state:
-            del self._work_by_key[key]
+        active = self._active_by_key.get(key)
+        if active is not None and active.state is state:
+            del self._active_by_key[key]
 
-    def _is_wanted(self, state):
+    def _should_continue(self, state):
         # A host that is no longer the holder goes on while pulls still reach it,
         # then leaves the rest to the new one. What it made is kept elsewhere.
-        self._note_published(state)
+        self._record_published(state)
         if state.is_superseded:
             return False
-        if self._clock.now_ms() - state.pulled_ms < UNWANTED_MS:
+        if self._clock.now_ms() - state.last_pull_ms < RECENT_PULL_MS:
             return True
-        return self._router.is_here(state.spec.account, state.spec.step)
+        return self._router.is_local_holder(state.spec.account, state.spec.step)
 
-    def _check_here(self, key):
-        if key not in self._work_by_key:
-            self._check_staying()
+    def _check_accepts(self, key):
+        if key not in self._active_by_key:
+            self._check_not_leaving()
 
-    def _check_staying(self):
+    def _check_not_leaving(self):
         if self._is_leaving:
             raise ServiceError(ErrorKind.DRAINING, "This host is shutting down.")
 
-    def _check_room(self):
-        if len(self._work_by_key) + len(self._loading_by_key) > MAX_STEPS:
+    def _check_capacity(self):
+        if len(self._active_by_key) + len(self._load_task_by_key) > MAX_STEPS:
             raise ServiceError(ErrorKind.OVERLOADED, "Too many steps are held here.")
 
-    async def _end(self, key):
+    async def _stop(self, key):
         # What still runs would have others keep the step anew.
-        work = self._work_by_key.pop(key, None)
-        if work is not None:
-            work.task.cancel()
-            await asyncio.wait([work.task])
+        active = self._active_by_key.pop(key, None)
+        if active is not None:
+            active.task.cancel()
+            await asyncio.wait([active.task])
 
-    async def _forget(self, state):
+    async def _delete_completed(self, state):
         key = (state.spec.account, state.spec.step)
-        work = self._work_by_key.get(key)
-        if work is not None and work.state is state:
-            await self._end(key)
+        active = self._active_by_key.get(key)
+        if active is not None and active.state is state:
+            await self._stop(key)
             await self._store.forget(*key, state.zone)
             try:
                 await self._store.records.delete(*key)
@@ -303,7 +305,7 @@
                 )
 
 
-def _within(partials, max_characters):
+def _limit_size(partials, max_characters):
     """Yield partial texts until they exceed a bound."""
     total = 0
     for partial in partials:
--- a/goldcrestmoor/version/steps/step_recorder.py
+++ b/goldcrestmoor/version/steps/step_recorder.py
@@ -19,36 +19,40 @@
     :param tasks: the :class:`~goldcrestmoor.util.TaskGroup` of the step.
     """
 
-    __slots__ = ("_state", "_store", "_clock", "_tasks", "_next_ms_by_group") + (
-        "_unkept",
-    )
+    __slots__ = (
+        "_state",
+        "_store",
+        "_clock",
+        "_tasks",
+        "_next_attempt_ms_by_group",
+    ) + ("_unsaved",)
 
     def __init__(self, *, state, store, clock, tasks):
         self._state = state
         self._store = store
         self._clock = clock
         self._tasks = tasks
-        self._next_ms_by_group = {}
-        self._unkept = set()
+        self._next_attempt_ms_by_group = {}
+        self._unsaved = set()
 
     def start(self):
         """Start to record every group that is whole and not recorded."""
         now_ms = self._clock.now_ms()
         for group in self._state.group_by_index:
-            if self._next_ms_by_group.get(group, 0) > now_ms:
+            if self._next_attempt_ms_by_group.get(group, 0) > now_ms:
                 continue
-            samples = self._state.unrecorded(group)
+            samples = self._state.unrecorded_samples(group)
             # Other hosts are asked first, so that no sample waits for the platform
             # and two holders that share a replica record the same ones.
-            if samples and all(self._is_settled(sample) for sample in samples):
+            if samples and all(self._is_confirmed(sample) for sample in samples):
                 # The entry keeps a second writer away until this one has ended.
-                self._next_ms_by_group[group] = self._state.deadline.at_ms
+                self._next_attempt_ms_by_group[group] = self._state.deadline.at_ms
                 self._tasks.start(self._record(group, samples))
 
-    def _is_settled(self, sample):
-        return self._state.is_ready(sample.slot) or sample.digest in self._unkept
+    def _is_confirmed(self, sample):
+        return self._state.is_deliverable(sample.slot) or sample.digest in self._unsaved
 
-    async def keep(self, sample, floor):
+    async def save(self, sample, floor):
         """Have another host keep a new sample.
 
         :param sample: the sample.
@@ -56,25 +60,25 @@
         """
         state = self._state
         winner = await self._store.save_sample(state.spec, sample, floor, state.zone)
-        if winner is None and state.unrecorded(sample.slot.group):
+        if winner is None and state.unrecorded_samples(sample.slot.group):
             # The group's record is tried before it is handed out without either.
-            self._unkept.add(sample.digest)
+            self._unsaved.add(sample.digest)
             self.start()
             return
         # With no other host alive the sample is handed out all the same: a slot
         # that the trainer has is never answered again, recorded or not.
-        state.settle(sample, winner or sample)
+        state.confirm(sample, winner or sample)
 
     async def _record(self, group, samples):
         state = self._state
-        number = state.next_round(group)
+        round_number = state.next_round(group)
         records = self._store.records
         try:
             if state.holder_version is None:
                 # The platform was out when this host became the holder.
                 state.holder_version = await records.take_over(state.spec)
             record = await records.save_group(
-                state.spec, group, number, samples, state.holder_version
+                state.spec, group, round_number, samples, state.holder_version
             )
         except Superseded:
             log.info("Step %s has another holder.", state.spec.step)
@@ -83,13 +87,13 @@
         except ServiceError as e:
             log.info("Group %s of step %s waits: %s", group, state.spec.step, e)
             for sample in samples:
-                state.settle(sample, sample)
+                state.confirm(sample, sample)
             retry_ms = max(RETRY_MS, e.retry_after_ms)
-            self._next_ms_by_group[group] = self._clock.now_ms() + retry_ms
+            self._next_attempt_ms_by_group[group] = self._clock.now_ms() + retry_ms
             return
         finally:
-            self._unkept.difference_update(sample.digest for sample in samples)
+            self._unsaved.difference_update(sample.digest for sample in samples)
         if not record.own:
             log.info("Group %s of step %s was recorded before.", group, state.spec.step)
-        del self._next_ms_by_group[group]
-        state.adopt(record)
+        del self._next_attempt_ms_by_group[group]
+        state.apply_record(record)
--- a/goldcrestmoor/version/steps/step_records.py
+++ b/goldcrestmoor/version/steps/step_records.py
@@ -8,7 +8,7 @@
 from goldcrestmoor import util
 from goldcrestmoor.adapters.table import Check, CheckFailed, Write
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.version.steps.steps import Sample, StepSpec, digest_of
+from goldcrestmoor.version.steps.steps import Sample, StepSpec, spec_digest
 
 log = logging.getLogger("goldcrestmoor.steps")
 
@@ -48,7 +48,7 @@
     """Another host has become the step's holder; nothing was recorded."""
 
 
-class _Expiring(msgspec.Struct):
+class _ExpiringRow(msgspec.Struct):
     """What all kinds of rows say of their end."""
 
     object_key: str = ""
@@ -92,10 +92,10 @@
         :raises ServiceError: ``STEP_CONFLICT`` when the step has another one;
             the platform's errors when it cannot be told.
         """
-        digest = digest_of(spec)
+        digest = spec_digest(spec)
         object_key = f"steps/{spec.account}/{spec.step}/{digest}"
         await self._objects.put(object_key, msgspec.msgpack.encode(spec))
-        row = StepRow(digest, object_key, util.new_id(), self._expiry(spec))
+        row = StepRow(digest, object_key, util.new_id(), self._expires_wall_ms(spec))
         key = f"{spec.account}/{spec.step}"
         found = await self._create(STEPS_TABLE, key, row)
         if found.digest != digest:
@@ -113,7 +113,7 @@
         :raises ServiceError: the platform's errors.
         """
         key = f"{spec.account}/{spec.step}"
-        row = HolderRow(util.new_id(), self._expiry(spec))
+        row = HolderRow(util.new_id(), self._expires_wall_ms(spec))
         value = msgspec.msgpack.encode(row)
         for _ in range(WRITE_ATTEMPTS):
             found = await self._table.get(HOLDERS_TABLE, key)
@@ -167,8 +167,8 @@
         deleted = 0
         for table in (GROUPS_TABLE, HOLDERS_TABLE, STEPS_TABLE):
             rows = await self._table.scan(table, "")
-            old = [row for row in rows if self._is_expired(row)]
-            batch = old[: max_rows - deleted]
+            expired = [row for row in rows if self._is_expired(row)]
+            batch = expired[: max_rows - deleted]
             await self._delete(table, batch)
             deleted += len(batch)
         return deleted
@@ -178,7 +178,7 @@
             batch = rows[start : start + ROWS_PER_TRANSACTION]
             # The object goes first: a row that is left over is found again.
             for row in batch:
-                found = msgspec.msgpack.decode(row.value, type=_Expiring)
+                found = msgspec.msgpack.decode(row.value, type=_ExpiringRow)
                 if found.object_key:
                     await self._objects.delete(found.object_key)
             # A row that was written anew meanwhile keeps the whole batch; what is
@@ -188,10 +188,12 @@
             await self._table.transact(checks, writes)
 
     def _is_expired(self, row):
-        expires_ms = msgspec.msgpack.decode(row.value, type=_Expiring).expires_wall_ms
+        expires_ms = msgspec.msgpack.decode(
+            row.value, type=_ExpiringRow
+        ).expires_wall_ms
         return 0 < expires_ms < self._clock.wall_ms()
 
-    def _expiry(self, spec):
+    def _expires_wall_ms(self, spec):
         return self._clock.wall_ms() + spec.deadline_ms + RETENTION_MS
 
     async def save_group(self, spec, group, number, samples, holder_version=None):
@@ -210,8 +212,8 @@
         token = util.new_id()
         object_key = f"groups/{spec.account}/{spec.step}/{group}/{number}/{token}"
         await self._objects.put(object_key, data)
-        key = f"{spec.account}/{spec.step}/{digest_of(spec)[:16]}/{group}/{number}"
-        row = GroupRow(object_key, token, self._expiry(spec))
+        key = f"{spec.account}/{spec.step}/{spec_digest(spec)[:16]}/{group}/{number}"
+        row = GroupRow(object_key, token, self._expires_wall_ms(spec))
         checks = []
         if holder_version is not None:
             holder = f"{spec.account}/{spec.step}"
@@ -229,7 +231,7 @@
 
         :param spec: the step's specification.
         """
-        prefix = f"{spec.account}/{spec.step}/{digest_of(spec)[:16]}/"
+        prefix = f"{spec.account}/{spec.step}/{spec_digest(spec)[:16]}/"
         records = []
         for row in await self._table.scan(GROUPS_TABLE, prefix):
             group, number = row.key.removeprefix(prefix).split("/")
@@ -238,7 +240,7 @@
             records.append(GroupRecord(int(group), int(number), samples))
         return sorted(records, key=lambda record: (record.group, record.round))
 
-    async def _create(self, table, key, row, further=()):
+    async def _create(self, table, key, row, extra_checks=()):
         # A write whose answer was lost is tried again: the row can be created only
         # once, so the repeat either succeeds or finds the row, whose token tells
         # which of the writes created it.
@@ -246,7 +248,7 @@
         for attempt in range(WRITE_ATTEMPTS):
             try:
                 answer = await self._table.transact(
-                    [Check(table, key, 0), *further], [Write(table, key, value)]
+                    [Check(table, key, 0), *extra_checks], [Write(table, key, value)]
                 )
             except ServiceError as e:
                 if e.kind != ErrorKind.OUTCOME_UNKNOWN or attempt + 1 == WRITE_ATTEMPTS:
--- a/goldcrestmoor/version/steps/step_replicas.py
+++ b/goldcrestmoor/version/steps/step_replicas.py
@@ -13,19 +13,19 @@
     StoreSamples,
     StoreStep,
 )
-from goldcrestmoor.version.steps.steps import digest_of, oldest_version
+from goldcrestmoor.version.steps.steps import oldest_version, spec_digest
 
-MAX_KEPT_STEPS = 128
+MAX_REPLICAS = 128
 
 
-class _Kept:
+class _Replica:
     """A step that is kept; samples made here are pending until they are settled."""
 
     __slots__ = ("spec", "digest", "sample_by_slot", "pending", "partials", "deadline")
 
     def __init__(self, spec, deadline):
         self.spec = spec
-        self.digest = digest_of(spec)
+        self.digest = spec_digest(spec)
         self.sample_by_slot = {}
         self.pending = set()
         self.partials = ()
@@ -39,11 +39,11 @@
     :param links: the ``PeerLinks``.
     """
 
-    __slots__ = ("_clock", "_kept_by_key")
+    __slots__ = ("_clock", "_replica_by_key")
 
     def __init__(self, *, clock, links):
         self._clock = clock
-        self._kept_by_key = collections.OrderedDict()
+        self._replica_by_key = collections.OrderedDict()
         links.register(StoreStep, self._on_store_step)
         links.register(StoreSamples, self._on_store_samples)
         links.register(HandOverStep, self._on_hand_over)
@@ -52,8 +52,8 @@
 
     def samples(self, account, step):
         """Return the samples kept of a step, by slot."""
-        kept = self._kept_by_key.get((account, step))
-        return dict(kept.sample_by_slot) if kept else {}
+        replica = self._replica_by_key.get((account, step))
+        return dict(replica.sample_by_slot) if replica else {}
 
     def claim(self, spec, sample, floor):
         """Keep a sample of this host's own, as pending, unless its slot has one.
@@ -63,23 +63,23 @@
         :param floor: the oldest weight version that the trainer still takes.
         :return: the sample that came first, or None.
         """
-        kept = self._keep(spec)
-        earlier = kept.sample_by_slot.get(sample.slot)
+        replica = self._get_or_create(spec)
+        earlier = replica.sample_by_slot.get(sample.slot)
         if earlier is not None and oldest_version(earlier) >= floor:
             return earlier
-        kept.sample_by_slot[sample.slot] = sample
-        kept.pending.add(sample.slot)
+        replica.sample_by_slot[sample.slot] = sample
+        replica.pending.add(sample.slot)
         return None
 
-    def settle(self, spec, winner):
+    def confirm(self, spec, winner):
         """Let a slot's sample stay for good.
 
         :param spec: the step's specification.
         :param winner: the sample that the slot goes to.
         """
-        kept = self._keep(spec)
-        kept.pending.discard(winner.slot)
-        kept.sample_by_slot[winner.slot] = winner
+        replica = self._get_or_create(spec)
+        replica.pending.discard(winner.slot)
+        replica.sample_by_slot[winner.slot] = winner
 
     def fetch(self, message):
         """Return what is kept of a step, as a :class:`KeptStep`.
@@ -87,55 +87,57 @@
         :param message: the :class:`FetchStep`.
         """
         self._drop_expired()
-        kept = self._kept_by_key.get((message.account, message.step))
-        if kept is None:
+        replica = self._replica_by_key.get((message.account, message.step))
+        if replica is None:
             return KeptStep()
-        return KeptStep(kept.spec, tuple(kept.sample_by_slot.values()), kept.partials)
+        return KeptStep(
+            replica.spec, tuple(replica.sample_by_slot.values()), replica.partials
+        )
 
     def forget(self, message):
         """Drop what is kept of a step.
 
         :param message: the :class:`ForgetStep`.
         """
-        self._kept_by_key.pop((message.account, message.step), None)
+        self._replica_by_key.pop((message.account, message.step), None)
 
-    def _keep(self, spec):
+    def _get_or_create(self, spec):
         self._drop_expired()
         key = (spec.account, spec.step)
-        kept = self._kept_by_key.get(key)
-        if kept is None or kept.digest != digest_of(spec):
+        replica = self._replica_by_key.get(key)
+        if replica is None or replica.digest != spec_digest(spec):
             deadline = Deadline.after(self._clock, spec.deadline_ms)
-            kept = self._kept_by_key[key] = _Kept(spec, deadline)
-        if len(self._kept_by_key) > MAX_KEPT_STEPS:
-            self._kept_by_key.popitem(last=False)
-        return kept
+            replica = self._replica_by_key[key] = _Replica(spec, deadline)
+        if len(self._replica_by_key) > MAX_REPLICAS:
+            self._replica_by_key.popitem(last=False)
+        return replica
 
     def _drop_expired(self):
-        passed = [k for k, v in self._kept_by_key.items() if v.deadline.passed()]
-        for key in passed:
-            del self._kept_by_key[key]
+        expired = [k for k, v in self._replica_by_key.items() if v.deadline.passed()]
+        for key in expired:
+            del self._replica_by_key[key]
 
     async def _on_store_step(self, sender_id, message):
-        self._keep(message.spec)
+        self._get_or_create(message.spec)
         return wire.Done()
 
     async def _on_store_samples(self, sender_id, message):
-        kept = self._kept_by_key.get((message.account, message.step))
-        if kept is None or kept.digest != message.digest:
+        replica = self._replica_by_key.get((message.account, message.step))
+        if replica is None or replica.digest != message.digest:
             return StoredSamples(False)
         for sample in message.samples:
             # The first sample of a slot stays, whichever holder it came from,
             # unless it has become too old for the trainer.
-            earlier = kept.sample_by_slot.get(sample.slot)
+            earlier = replica.sample_by_slot.get(sample.slot)
             if earlier is None or oldest_version(earlier) < message.floor:
-                kept.sample_by_slot[sample.slot] = sample
-                kept.pending.discard(sample.slot)
+                replica.sample_by_slot[sample.slot] = sample
+                replica.pending.discard(sample.slot)
         slots = [sample.slot for sample in message.samples]
-        stored = tuple(kept.sample_by_slot[slot] for slot in slots)
-        return StoredSamples(True, stored, kept.pending.isdisjoint(slots))
+        stored = tuple(replica.sample_by_slot[slot] for slot in slots)
+        return StoredSamples(True, stored, replica.pending.isdisjoint(slots))
 
     async def _on_hand_over(self, sender_id, message):
-        self._keep(message.spec).partials = message.partials
+        self._get_or_create(message.spec).partials = message.partials
         return wire.Done()
 
     async def _on_fetch_step(self, sender_id, message):
--- a/goldcrestmoor/version/steps/step_router.py
+++ b/goldcrestmoor/version/steps/step_router.py
@@ -6,8 +6,8 @@
 
 log = logging.getLogger("goldcrestmoor.steps")
 
-MAX_TRIES = 3
-_MOVE_ON = (ErrorKind.PEER_UNREACHABLE, ErrorKind.DRAINING)
+MAX_ATTEMPTS = 3
+_FAILOVER_KINDS = (ErrorKind.PEER_UNREACHABLE, ErrorKind.DRAINING)
 
 
 class StepRouter:
@@ -29,64 +29,64 @@
         self._lease = lease
         self._host_id = host_id
 
-    async def at_holder(self, account, step, message, timeout_ms, here):
+    async def call_holder(self, account, step, message, timeout_ms, handle_locally):
         """Have a message handled by the holder, or by the next host that can.
 
         :param account: the account's name.
         :param step: the step's name.
         :param message: the message.
         :param timeout_ms: how long to wait for each host, in milliseconds.
-        :param here: handles the message on this host; as a peer's handler does.
+        :param handle_locally: the message handler of this host.
         :return: the answer.
         """
-        found = self.account(account)
-        first = self._ownership.holder_of_step(found, step)
-        others = self._store.hosts_for(account, step, found.zone)
+        found_account = self.account(account)
+        first = self._ownership.holder_of_step(found_account, step)
+        others = self._store.candidate_hosts(account, step, found_account.zone)
         *hosts, last = self._candidates(first, others)
         for host_id in hosts:
             try:
-                return await self._ask(host_id, message, timeout_ms, here)
+                return await self._call(host_id, message, timeout_ms, handle_locally)
             except ServiceError as e:
-                if e.kind not in _MOVE_ON:
+                if e.kind not in _FAILOVER_KINDS:
                     raise
                 log.info("Host %s does not hold step %s: %s", host_id, step, e)
-        return await self._ask(last, message, timeout_ms, here)
+        return await self._call(last, message, timeout_ms, handle_locally)
 
     def _candidates(self, first, others):
-        hosts = list(dict.fromkeys([first, *others]))[:MAX_TRIES]
+        hosts = list(dict.fromkeys([first, *others]))[:MAX_ATTEMPTS]
         return hosts if self._host_id in hosts else [*hosts, self._host_id]
 
-    async def _ask(self, host_id, message, timeout_ms, here):
+    async def _call(self, host_id, message, timeout_ms, handle_locally):
         if host_id == self._host_id:
-            return await here(host_id, message)
+            return await handle_locally(host_id, message)
         return await self._links.call(host_id, message, timeout_ms)
 
-    def is_here(self, account, step):
+    def is_local_holder(self, account, step):
         """Tell whether this host is a step's holder, as far as it knows.
 
         :param account: the account's name.
         :param step: the step's name.
         """
-        found = self._lease.view().configuration.accounts_by_name.get(account)
-        if found is None:
+        found_account = self._lease.view().configuration.accounts_by_name.get(account)
+        if found_account is None:
             return True
-        return self._ownership.holder_of_step(found, step) == self._host_id
+        return self._ownership.holder_of_step(found_account, step) == self._host_id
 
     def zone(self, account):
         """Return an account's zone; empty when the account is not served here.
 
         :param account: the account's name.
         """
-        found = self._lease.view().configuration.accounts_by_name.get(account)
-        return found.zone if found else ""
+        found_account = self._lease.view().configuration.accounts_by_name.get(account)
+        return found_account.zone if found_account else ""
 
     def model(self, pool):
         """Return the model of a pool; empty when the pool is not known here.
 
         :param pool: the pool's name.
         """
-        found = self._lease.view().configuration.pools_by_name.get(pool)
-        return found.model if found else ""
+        found_pool = self._lease.view().configuration.pools_by_name.get(pool)
+        return found_pool.model if found_pool else ""
 
     def account(self, name):
         """Return an account.
--- a/goldcrestmoor/version/steps/step_routes.py
+++ b/goldcrestmoor/version/steps/step_routes.py
@@ -11,17 +11,17 @@
     Sample,
     Slot,
     StepSpec,
-    check_name,
+    validate_step_name,
 )
 
 DEFAULT_DEADLINE_MS = 3_600_000
 
 
-class _Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _StrictBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     pass
 
 
-class GroupBody(_Strict, frozen=True):
+class GroupBody(_StrictBody, frozen=True):
     """One group of a submission."""
 
     index: int
@@ -31,7 +31,7 @@
     seed: int = 0
 
 
-class SubmitBody(_Strict, frozen=True):
+class SubmitBody(_StrictBody, frozen=True):
     """The body of ``POST /v1/steps``.
 
     :param model: the pool whose engines make the samples.
@@ -45,7 +45,7 @@
     deadline_ms: int = DEFAULT_DEADLINE_MS
 
 
-class PullBody(_Strict, frozen=True):
+class PullBody(_StrictBody, frozen=True):
     """The body of ``POST /v1/steps/{step}/pull``.
 
     :param version: the trainer's weight version.
@@ -78,7 +78,7 @@
     step: str
 
 
-class PublishBody(_Strict, frozen=True):
+class PublishBody(_StrictBody, frozen=True):
     """The body of ``POST /v1/versions``."""
 
     model: str
@@ -95,7 +95,7 @@
     """
 
     async def submit(request):
-        account, body = await _ask(authenticator, request, SubmitBody)
+        account, body = await _read_request(authenticator, request, SubmitBody)
         if body.model not in account.pools:
             raise ServiceError(ErrorKind.FORBIDDEN, "The pool is not the account's.")
         groups = tuple(
@@ -111,11 +111,11 @@
             body.deadline_ms,
         )
         await steps.submit(spec)
-        return _json(StepAnswer(spec.step), 202)
+        return _json_response(StepAnswer(spec.step), 202)
 
     async def pull(request):
-        account, body = await _ask(authenticator, request, PullBody)
-        step = _step(request)
+        account, body = await _read_request(authenticator, request, PullBody)
+        step = _step_name(request)
         message = PullSamples(
             account.name,
             step,
@@ -127,21 +127,21 @@
         )
         answer = await steps.pull(message)
         # The pull may have waited long, and its account be gone meanwhile.
-        _trainer(authenticator, request)
-        return _json(PullAnswer(answer.samples, answer.complete))
+        _trainer_account(authenticator, request)
+        return _json_response(PullAnswer(answer.samples, answer.complete))
 
     async def cancel(request):
-        account = _trainer(authenticator, request)
-        step = _step(request)
+        account = _trainer_account(authenticator, request)
+        step = _step_name(request)
         await steps.cancel(account.name, step)
-        return _json(StepAnswer(step))
+        return _json_response(StepAnswer(step))
 
     async def publish(request):
-        account, body = await _ask(authenticator, request, PublishBody)
+        account, body = await _read_request(authenticator, request, PublishBody)
         if body.version < 1:
             raise ServiceError(ErrorKind.BAD_REQUEST, "Versions start at 1.")
         await weights.publish(body.model, body.version, account.name)
-        return _json(body)
+        return _json_response(body)
 
     app.router.add_post("/v1/steps", submit)
     app.router.add_post("/v1/steps/{step}/pull", pull)
@@ -149,26 +149,26 @@
     app.router.add_post("/v1/versions", publish)
 
 
-def _trainer(authenticator, request):
+def _trainer_account(authenticator, request):
     account = authenticator.account(list(request.headers))
     if account.kind != "trainer":
         raise ServiceError(ErrorKind.FORBIDDEN, "The account is not a trainer's.")
     return account
 
 
-async def _ask(authenticator, request, kind):
+async def _read_request(authenticator, request, kind):
     """Return the account and the body, which may have taken long to come."""
-    _trainer(authenticator, request)
+    _trainer_account(authenticator, request)
     body = await read_json(request, kind)
-    return _trainer(authenticator, request), body
+    return _trainer_account(authenticator, request), body
 
 
-def _step(request):
+def _step_name(request):
     step = request.route_values["step"]
-    check_name(step)
+    validate_step_name(step)
     return step
 
 
-def _json(value, status=200):
+def _json_response(value, status=200):
     content = Content(b"application/json", msgspec.json.encode(value))
     return Response(status, content=content)
--- a/goldcrestmoor/version/steps/step_run.py
+++ b/goldcrestmoor/version/steps/step_run.py
@@ -35,7 +35,7 @@
     :param decisions: the ``DecisionLog``.
     :param metrics: the ``Metrics``.
     :param hedge_percent: second copies allowed, of the step's slots.
-    :param is_wanted: tells whether this host is still to work on the step.
+    :param should_continue: tells whether this host is still to work on the step.
     :param start_order: a class of :mod:`goldcrestmoor.version.steps.stragglers`.
     :param resumes: whether a slot that is tried again goes on from its tokens.
     :param drops_early: whether a stream is stopped that is expected to be too old
@@ -55,7 +55,7 @@
         decisions,
         metrics,
         hedge_percent,
-        is_wanted,
+        should_continue,
         start_order=stragglers.LONGEST_FIRST,
         resumes=True,
         drops_early=False,
@@ -67,16 +67,16 @@
         self._lease = lease
         self._decisions = decisions
         self._metrics = metrics
-        self._is_wanted = is_wanted
+        self._should_continue = should_continue
         self._start_order = start_order
         self._drops_early = drops_early
-        self._pace = PublishIntervalEstimator(state.trainer_version)
-        self._kept = PartialOutputs(resumes, partials)
+        self._publish_interval = PublishIntervalEstimator(state.trainer_version)
+        self._partial_outputs = PartialOutputs(resumes, partials)
         self._hedges_left = -(-len(state.slots) * hedge_percent // PERCENT)
-        self._lengths = stragglers.Lengths()
+        self._length_estimator = stragglers.LengthEstimator()
         self._streams_by_slot = {}
         self._retry_by_slot = {}
-        self._version = state.trainer_version
+        self._seen_version = state.trainer_version
         self._tasks = util.TaskGroup()
         self._recorder = StepRecorder(
             state=state, store=store, clock=clock, tasks=self._tasks
@@ -85,7 +85,9 @@
     async def run(self):
         """Work until the deadline, until another host holds the step or cancelled."""
         try:
-            while not self._state.deadline.passed() and self._is_wanted(self._state):
+            while not self._state.deadline.passed() and self._should_continue(
+                self._state
+            ):
                 account = self._account()
                 if account is not None:
                     self._drop_stale(account)
@@ -102,7 +104,7 @@
         """Yield what the streams have come to, the longest of each slot."""
         for slot, streams in self._streams_by_slot.items():
             longest = max(streams, key=Stream.tokens)
-            if longest.chunks and longest.states_versions():
+            if longest.chunks and longest.has_versions():
                 yield Partial(slot, longest.segments())
 
     def _account(self):
@@ -111,13 +113,13 @@
 
     def _drop_stale(self, account):
         for slot in self._state.drop_stale(account.staleness_bound):
-            self._count("dropped_stale")
+            self._count_samples("dropped_stale")
             log.info("Slot %s of step %s went stale.", slot, self._state.spec.step)
         version = self._state.trainer_version
-        self._pace.record(version, self._clock.now_ms())
-        oldest = self._floor(account)
-        if version != self._version:
-            self._version = version
+        self._publish_interval.record(version, self._clock.now_ms())
+        oldest = self._min_version(account)
+        if version != self._seen_version:
+            self._seen_version = version
             match account.delivery.on_version_change:
                 case VersionChangePolicy.CANCEL:
                     oldest = version
@@ -127,13 +129,13 @@
                     pass
         for streams in list(self._streams_by_slot.values()):
             for stream in list(streams):
-                if stream.older_than(oldest):
+                if stream.has_older_version(oldest):
                     self._stop(stream, "Too old for the trainer's version.")
-                elif self._is_doomed(stream, account.staleness_bound):
-                    self._count("dropped_early")
+                elif self._will_exceed_staleness(stream, account.staleness_bound):
+                    self._count_samples("dropped_early")
                     self._stop(stream, "It will be too old when it ends.")
 
-    def _is_doomed(self, stream, bound):
+    def _will_exceed_staleness(self, stream, bound):
         """Tell whether a stream will be too old, and one begun now would not be."""
         if not self._drops_early or not stream.chunks:
             return False
@@ -141,45 +143,51 @@
         oldest = min(chunk.version for chunk in stream.chunks)
         if oldest >= self._state.trainer_version:
             return False
-        too_old_ms = self._pace.expires_at_ms(oldest, bound)
-        left_ms = self._lengths.finish_ms(stream.progress(now_ms), stream.group.index)
+        too_old_ms = self._publish_interval.expires_at_ms(oldest, bound)
+        left_ms = self._length_estimator.time_to_finish_ms(
+            stream.progress(now_ms), stream.group.index
+        )
         if too_old_ms is None or left_ms is None:
             return False
         return now_ms + left_ms > too_old_ms
 
-    def _floor(self, account):
+    def _min_version(self, account):
         return max(0, self._state.trainer_version - account.staleness_bound)
 
-    def _limit(self):
+    def _stream_limit(self):
         configuration = self._lease.view().configuration
         upstreams = configuration.upstreams_of(self._state.spec.pool)
         return min(MAX_STREAMS, sum(u.slots for u in upstreams))
 
-    def _running(self):
+    def _running_count(self):
         return sum(len(streams) for streams in self._streams_by_slot.values())
 
     def _start_streams(self, account):
-        wanted = self._state.to_make()
-        for slot in [s for s in self._streams_by_slot if s not in wanted]:
+        missing = self._state.missing_slots()
+        for slot in [s for s in self._streams_by_slot if s not in missing]:
             for stream in list(self._streams_by_slot[slot]):
                 self._stop(stream, "The slot needs no sample.")
         now_ms = self._clock.now_ms()
-        idle = self._limit() - self._running()
+        idle_slots = self._stream_limit() - self._running_count()
         startable = [
             slot
-            for slot in wanted
-            if slot not in self._streams_by_slot and self._may_retry(slot, now_ms)
+            for slot in missing
+            if slot not in self._streams_by_slot and self._can_retry(slot, now_ms)
         ]
-        bounds = {i: g.max_tokens for i, g in self._state.group_by_index.items()}
+        max_tokens_by_group = {
+            i: g.max_tokens for i, g in self._state.group_by_index.items()
+        }
         ordered = stragglers.start_order(
-            startable, self._lengths, bounds, self._start_order
+            startable, self._length_estimator, max_tokens_by_group, self._start_order
         )
-        for slot in ordered[:idle]:
+        for slot in ordered[:idle_slots]:
             group = self._state.group_by_index[slot.group]
-            chunks = self._kept.take(slot, group.max_tokens, self._floor(account))
+            chunks = self._partial_outputs.take(
+                slot, group.max_tokens, self._min_version(account)
+            )
             self._start(Stream(slot, group, now_ms, chunks), account)
 
-    def _may_retry(self, slot, now_ms):
+    def _can_retry(self, slot, now_ms):
         retry = self._retry_by_slot.get(slot)
         return retry is None or retry[0] <= now_ms
 
@@ -187,7 +195,7 @@
         self._streams_by_slot.setdefault(stream.slot, []).append(stream)
         text = f"Sample {stream.slot.group}/{stream.slot.index} of a step."
         self._decisions.record("steps", stream.request_id, text)
-        stream.task = self._tasks.start(self._make(stream, account, avoid))
+        stream.task = self._tasks.start(self._generate(stream, account, avoid))
 
     def _stop(self, stream, reason):
         self._decisions.record("steps", stream.request_id, f"Cancelled. {reason}")
@@ -201,19 +209,19 @@
         if not streams:
             self._streams_by_slot.pop(stream.slot, None)
 
-    async def _make(self, stream, account, avoid):
+    async def _generate(self, stream, account, avoid):
         name = f"{stream.slot.group}/{stream.slot.index}"
         try:
             with tracing.span("step.sample", account=account.name, slot=name):
                 await self._receive(stream, account, avoid)
         except ServiceError as e:
             self._metrics.retries.labels(e.kind.value).inc()
-            self._kept.keep(stream)
+            self._partial_outputs.save(stream)
             self._retry_later(stream, e.retry_after_ms)
             return
         finally:
             self._remove(stream)
-        sample = self._sample(stream, account)
+        sample = self._build_sample(stream, account)
         if sample is None:
             self._retry_later(stream)
         else:
@@ -225,31 +233,31 @@
             account=account,
             pool=spec.pool,
             prompt=stream.group.prompt,
-            max_tokens=stream.tokens_left(),
+            max_tokens=stream.remaining_tokens(),
             seed=stream.group.seed + stream.slot.index,
             deadline=self._state.deadline,
             request_id=stream.request_id,
             resume_text=stream.text(),
-            min_version=self._floor(account),
+            min_version=self._min_version(account),
             avoid=avoid,
             prefix_key=f"{spec.account}/{spec.step}/{stream.group.index}",
         )
         async with contextlib.aclosing(chunks):
             async for chunk in chunks:
                 stream.chunks.append(chunk)
-                if chunk.version < self._floor(account):
+                if chunk.version < self._min_version(account):
                     return
 
-    def _sample(self, stream, account):
-        if not stream.ended():
-            self._count("dropped_cut")
+    def _build_sample(self, stream, account):
+        if not stream.is_complete():
+            self._count_samples("dropped_cut")
             return None
-        if not stream.states_versions():
-            self._count("dropped_no_version")
+        if not stream.has_versions():
+            self._count_samples("dropped_no_version")
             log.warning("An engine stated no version; its sample is dropped.")
             return None
-        if stream.older_than(self._floor(account)):
-            self._count("dropped_stale")
+        if stream.has_older_version(self._min_version(account)):
+            self._count_samples("dropped_stale")
             return None
         return stream.sample()
 
@@ -265,41 +273,45 @@
 
     async def _finish(self, stream, sample, account):
         if not self._state.put(sample):
-            self._count("dropped_second")
+            self._count_samples("dropped_second")
             return
         self._retry_by_slot.pop(stream.slot, None)
-        self._kept.forget(stream.slot)
+        self._partial_outputs.forget(stream.slot)
         elapsed_ms = self._clock.now_ms() - stream.started_ms
-        self._lengths.add(stream.group.index, stream.tokens(), elapsed_ms)
-        for loser in list(self._streams_by_slot.get(stream.slot, ())):
-            self._stop(loser, "Another copy finished first.")
+        self._length_estimator.add(stream.group.index, stream.tokens(), elapsed_ms)
+        for other in list(self._streams_by_slot.get(stream.slot, ())):
+            self._stop(other, "Another copy finished first.")
         if stream.is_hedge:
-            self._count("hedge_won")
-        await self._recorder.keep(sample, self._floor(account))
+            self._count_samples("hedge_won")
+        await self._recorder.save(sample, self._min_version(account))
 
     def _hedge(self, account):
         if not account.delivery.hedge or self._hedges_left <= 0:
             return
-        if self._state.to_make() - self._streams_by_slot.keys():
+        if self._state.missing_slots() - self._streams_by_slot.keys():
             return
-        single = [s[0] for s in self._streams_by_slot.values() if len(s) == 1]
-        for stream in single:
-            idle = self._limit() - self._running()
+        unhedged = [s[0] for s in self._streams_by_slot.values() if len(s) == 1]
+        for stream in unhedged:
+            idle_slots = self._stream_limit() - self._running_count()
             progress = stream.progress(self._clock.now_ms())
-            decision = stragglers.decide(
-                progress, stream.group.index, self._lengths, idle, self._hedges_left
+            decision = stragglers.decide_hedge(
+                progress,
+                stream.group.index,
+                self._length_estimator,
+                idle_slots,
+                self._hedges_left,
             )
             match decision:
-                case stragglers.Wait():
+                case stragglers.NoHedge():
                     continue
-                case stragglers.Copy(gain_ms):
+                case stragglers.HedgeFromStart(gain_ms):
                     self._start_hedge(stream, (), gain_ms, account)
-                case stragglers.Continue(gain_ms):
+                case stragglers.HedgeFromTokens(gain_ms):
                     self._start_hedge(stream, stream.chunks, gain_ms, account)
 
     def _start_hedge(self, stream, chunks, gain_ms, account):
         self._hedges_left -= 1
-        self._count("hedged")
+        self._count_samples("hedged")
         text = f"A second copy starts, to save about {gain_ms} ms."
         self._decisions.record("steps", stream.request_id, text)
         now_ms = self._clock.now_ms()
@@ -307,5 +319,5 @@
         avoid = tuple({chunk.upstream for chunk in stream.chunks[-1:]})
         self._start(hedge, account, avoid)
 
-    def _count(self, outcome):
+    def _count_samples(self, outcome):
         self._metrics.samples.labels(self._state.spec.account, outcome).inc()
--- a/goldcrestmoor/version/steps/step_state.py
+++ b/goldcrestmoor/version/steps/step_state.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from goldcrestmoor.version.steps.steps import Held, oldest_version
+from goldcrestmoor.version.steps.steps import HeldSlots, oldest_version
 
 MAX_ANSWER_CHARACTERS = 4_000_000
 
@@ -26,10 +26,10 @@
         "sample_by_slot",
         "trainer_version",
         "held",
-        "pulled_ms",
+        "last_pull_ms",
         "holder_version",
         "is_superseded",
-        "_ready",
+        "_deliverable",
         "_recorded",
         "_rounds_by_group",
         "_changed",
@@ -46,11 +46,11 @@
             self._slots_by_group[slot.group].append(slot)
         self.sample_by_slot = {}
         self.trainer_version = spec.base_version
-        self.held = Held()
-        self.pulled_ms = now_ms
+        self.held = HeldSlots()
+        self.last_pull_ms = now_ms
         self.holder_version = None
         self.is_superseded = False
-        self._ready = set()
+        self._deliverable = set()
         self._recorded = set()
         self._rounds_by_group = {}
         self._changed = asyncio.Event()
@@ -58,7 +58,7 @@
     def supersede(self):
         """Note that another host has become the step's holder."""
         self.is_superseded = True
-        self.wake()
+        self.notify()
 
     def put(self, sample):
         """Take in a sample unless its slot has one.
@@ -68,10 +68,10 @@
         if sample.slot not in self.slots or sample.slot in self.sample_by_slot:
             return False
         self.sample_by_slot[sample.slot] = sample
-        self.wake()
+        self.notify()
         return True
 
-    def settle(self, sample, winner):
+    def confirm(self, sample, winner):
         """Let the winner of a slot be delivered, in place of a sample made here.
 
         :param sample: the sample made here.
@@ -79,14 +79,14 @@
         """
         if self.sample_by_slot.get(sample.slot) is sample:
             self.sample_by_slot[sample.slot] = winner
-            self._ready.add(sample.slot)
-            self.wake()
+            self._deliverable.add(sample.slot)
+            self.notify()
 
-    def is_ready(self, slot):
+    def is_deliverable(self, slot):
         """Tell whether a slot's sample may be delivered."""
-        return slot in self._ready
+        return slot in self._deliverable
 
-    def adopt(self, record):
+    def apply_record(self, record):
         """Take in a recorded round of a group, which goes before other samples.
 
         :param record: a :class:`~goldcrestmoor.version.steps.step_records.GroupRecord`.
@@ -95,10 +95,10 @@
             if sample.slot not in self.slots:
                 continue
             self.sample_by_slot[sample.slot] = sample
-            self._ready.add(sample.slot)
+            self._deliverable.add(sample.slot)
             self._recorded.add(sample.slot)
         self._rounds_by_group[record.group] = record.round + 1
-        self.wake()
+        self.notify()
 
     def next_round(self, group):
         """Return the number of a group's next round.
@@ -107,7 +107,7 @@
         """
         return self._rounds_by_group.get(group, 0)
 
-    def unrecorded(self, group):
+    def unrecorded_samples(self, group):
         """Return a group's samples to record, once no slot of it lacks one.
 
         :param group: the group's index.
@@ -115,28 +115,28 @@
         slots = self._slots_by_group[group]
         if any(s not in self.sample_by_slot and s not in self.held for s in slots):
             return []
-        wanted = (s for s in slots if s not in self._recorded)
-        return [self.sample_by_slot[s] for s in wanted if s in self.sample_by_slot]
+        unrecorded = (s for s in slots if s not in self._recorded)
+        return [self.sample_by_slot[s] for s in unrecorded if s in self.sample_by_slot]
 
-    def to_make(self):
+    def missing_slots(self):
         """Return the slots that the trainer lacks and that have no sample."""
-        filled = self.sample_by_slot
-        return {s for s in self.slots if s not in filled and s not in self.held}
+        sampled = self.sample_by_slot
+        return {s for s in self.slots if s not in sampled and s not in self.held}
 
-    def note_pull(self, held, version, now_ms):
+    def record_pull(self, held, version, now_ms):
         """Take in what a trainer says of itself.
 
-        :param held: the :class:`Held` slots.
+        :param held: the :class:`HeldSlots` slots.
         :param version: its weight version; an older one than before is a pull that
             came late and changes nothing.
         :param now_ms: the present time, on the clock's scale.
         """
         self.held = held
-        self.pulled_ms = now_ms
-        self.note_version(version)
-        self.wake()
+        self.last_pull_ms = now_ms
+        self.record_version(version)
+        self.notify()
 
-    def note_version(self, version):
+    def record_version(self, version):
         """Take in a weight version that the trainer is known to have.
 
         :param version: the version; an older one changes nothing.
@@ -150,16 +150,16 @@
         :return: the slots that were dropped.
         """
         floor = self.trainer_version - bound
-        stale = [
+        stale_slots = [
             slot
             for slot, sample in self.sample_by_slot.items()
             if slot not in self.held and oldest_version(sample) < floor
         ]
-        for slot in stale:
+        for slot in stale_slots:
             del self.sample_by_slot[slot]
-            self._ready.discard(slot)
+            self._deliverable.discard(slot)
             self._recorded.discard(slot)
-        return stale
+        return stale_slots
 
     def answer(self, held, bound, max_samples):
         """Return deliverable samples that a trainer lacks.
@@ -170,31 +170,31 @@
         :return: the samples, and whether the trainer is whole with them.
         """
         floor = self.trainer_version - bound
-        lacking = sorted(slot for slot in self.slots if slot not in held)
+        missing = sorted(slot for slot in self.slots if slot not in held)
         fresh = [
             self.sample_by_slot[slot]
-            for slot in lacking
-            if slot in self._ready
+            for slot in missing
+            if slot in self._deliverable
             and oldest_version(self.sample_by_slot[slot]) >= floor
         ]
-        samples = tuple(_within(fresh[:max_samples], MAX_ANSWER_CHARACTERS))
-        return samples, len(samples) == len(lacking)
+        samples = tuple(_limit_size(fresh[:max_samples], MAX_ANSWER_CHARACTERS))
+        return samples, len(samples) == len(missing)
 
-    def settled(self):
+    def is_fully_deliverable(self):
         """Tell whether every sample is recorded or kept by another host."""
-        return len(self._ready) == len(self.sample_by_slot)
+        return len(self._deliverable) == len(self.sample_by_slot)
 
     async def wait_changed(self):
         """Wait until a sample or a pull comes in."""
         await self._changed.wait()
 
-    def wake(self):
+    def notify(self):
         """Have everyone look again who waits for a change."""
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def _within(samples, max_characters):
+def _limit_size(samples, max_characters):
     """Yield samples until their text exceeds a bound; always the first one."""
     total = 0
     for sample in samples:
--- a/goldcrestmoor/version/steps/step_stream.py
+++ b/goldcrestmoor/version/steps/step_stream.py
@@ -39,7 +39,7 @@
         """Return the tokens received."""
         return sum(chunk.tokens for chunk in self.chunks)
 
-    def tokens_left(self):
+    def remaining_tokens(self):
         """Return the tokens that it may still have, at least one."""
         return max(1, self.group.max_tokens - self.tokens())
 
@@ -47,18 +47,18 @@
         """Return the text received."""
         return "".join(chunk.text for chunk in self.chunks)
 
-    def older_than(self, version):
+    def has_older_version(self, version):
         """Tell whether a token was made by an older version.
 
         :param version: the weight version.
         """
         return any(chunk.version < version for chunk in self.chunks)
 
-    def states_versions(self):
+    def has_versions(self):
         """Tell whether every piece states the version that made it."""
         return all(chunk.version for chunk in self.chunks)
 
-    def ended(self):
+    def is_complete(self):
         """Tell whether the engine said that the sample is whole."""
         return bool(self.chunks) and bool(self.chunks[-1].finish_reason)
 
@@ -77,7 +77,7 @@
     def sample(self):
         """Return the sample that its pieces make up."""
         # A piece without tokens ends a stream and made none of its text.
-        made = [p for p in self.chunks if p.tokens or p.text] or self.chunks
+        with_content = [p for p in self.chunks if p.tokens or p.text] or self.chunks
         return make_sample(
-            self.slot, merge_by_version(made), self.chunks[-1].finish_reason
+            self.slot, merge_by_version(with_content), self.chunks[-1].finish_reason
         )
--- a/goldcrestmoor/version/steps/step_sweeper.py
+++ b/goldcrestmoor/version/steps/step_sweeper.py
@@ -6,8 +6,8 @@
 
 log = logging.getLogger("goldcrestmoor.steps")
 
-SWEEP_MS = 600_000
-MAX_ROWS = 1000
+CLEANUP_INTERVAL_MS = 600_000
+MAX_ROWS_PER_RUN = 1000
 DUTY = "step-sweeper"
 
 
@@ -33,11 +33,11 @@
     async def run(self):
         """Sweep from time to time, until cancelled."""
         while True:
-            await self._clock.sleep_ms(SWEEP_MS)
+            await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             if self._ownership.preferred_hosts(DUTY, 1) != [self._host_id]:
                 continue
             try:
-                deleted = await self._records.delete_expired(MAX_ROWS)
+                deleted = await self._records.delete_expired(MAX_ROWS_PER_RUN)
                 log.info("Deleted %d expired records of steps.", deleted)
             except ServiceError as e:
                 log.info("Expired steps were left for the next round: %s", e)
--- a/goldcrestmoor/version/steps/steps.py
+++ b/goldcrestmoor/version/steps/steps.py
@@ -83,7 +83,7 @@
     digest: str
 
 
-class Held(msgspec.Struct, frozen=True):
+class HeldSlots(msgspec.Struct, frozen=True):
     """The slots that a trainer says it has.
 
     :param groups: groups of which it has every slot.
@@ -118,7 +118,7 @@
     return min(segment.version for segment in sample.segments)
 
 
-def digest_of(spec):
+def spec_digest(spec):
     """Return what tells a step's specification from any other.
 
     :param spec: a :class:`StepSpec`.
@@ -126,7 +126,7 @@
     return hashlib.sha256(msgspec.json.encode(spec)).hexdigest()
 
 
-def check_name(step):
+def validate_step_name(step):
     """Refuse a step's name that could reach another step's records.
 
     :param step: the name.
@@ -136,13 +136,13 @@
         raise ServiceError(ErrorKind.BAD_REQUEST, "The step's name is not valid.")
 
 
-def check(spec):
+def validate_spec(spec):
     """Refuse a specification that no holder could work on.
 
     :param spec: a :class:`StepSpec`.
     :raises ServiceError: ``BAD_REQUEST``.
     """
-    check_name(spec.step)
+    validate_step_name(spec.step)
     indexes = {group.index for group in spec.groups}
     if not spec.groups or len(indexes) != len(spec.groups):
         raise ServiceError(ErrorKind.BAD_REQUEST, "Groups need unique indexes.")
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -11,11 +11,11 @@
 from goldcrestmoor.version.steps.step_rows import make_source
 from goldcrestmoor.version.steps.step_state import StepState
 from goldcrestmoor.version.steps.steps import (
-    Held,
+    HeldSlots,
     Slot,
-    check,
     make_sample,
     oldest_version,
+    validate_spec,
 )
 from test import _common
 from test._step_fakes import ACCOUNT, ZONE, FakeFleet, make_spec
@@ -108,7 +108,7 @@
     async def test_names_cannot_reach_other_records(self):
         for name in ("", "../x", "a/b", "x" * 65):
             with self.assertRaises(ServiceError):
-                check(make_spec(step=name))
+                validate_spec(make_spec(step=name))
 
 
 class StateTest(unittest.IsolatedAsyncioTestCase):
@@ -120,39 +120,39 @@
         segments = [Segment(version, "x", 1) for version in versions]
         sample = make_sample(self.slot, segments, "stop")
         taken = self.state.put(sample)
-        self.state.settle(sample, sample)
+        self.state.confirm(sample, sample)
         return taken
 
     async def test_a_slot_takes_one_sample(self):
         self.assertTrue(self.put(1))
         self.assertFalse(self.put(2))
-        samples, _ = self.state.answer(Held(), 1, 10)
+        samples, _ = self.state.answer(HeldSlots(), 1, 10)
         self.assertEqual([oldest_version(s) for s in samples], [1])
 
     async def test_the_answer_checks_the_oldest_segment(self):
         self.put(1, 4)
-        self.state.note_pull(Held(), 4, 0)
-        self.assertEqual(self.state.answer(Held(), 2, 10), ((), False))
-        self.assertEqual(len(self.state.answer(Held(), 3, 10)[0]), 1)
+        self.state.record_pull(HeldSlots(), 4, 0)
+        self.assertEqual(self.state.answer(HeldSlots(), 2, 10), ((), False))
+        self.assertEqual(len(self.state.answer(HeldSlots(), 3, 10)[0]), 1)
 
     async def test_an_answer_is_bounded_but_never_empty(self):
         for index in range(2):
             self.slot = Slot(0, index)
             self.put(1)
         with mock.patch.object(step_state, "MAX_ANSWER_CHARACTERS", 0):
-            samples, is_complete = self.state.answer(Held(), 1, 10)
+            samples, is_complete = self.state.answer(HeldSlots(), 1, 10)
         self.assertEqual((len(samples), is_complete), (1, False))
 
     async def test_nothing_is_answered_before_it_is_recorded(self):
         sample = make_sample(self.slot, [Segment(1, "x", 1)], "stop")
         self.state.put(sample)
-        self.assertEqual(self.state.answer(Held(), 1, 10), ((), False))
+        self.assertEqual(self.state.answer(HeldSlots(), 1, 10), ((), False))
 
     async def test_stale_samples_are_to_be_made_again(self):
         self.put(1, 4)
-        self.state.note_pull(Held(), 4, 0)
+        self.state.record_pull(HeldSlots(), 4, 0)
         self.assertEqual(self.state.drop_stale(2), [self.slot])
-        self.assertIn(self.slot, self.state.to_make())
+        self.assertIn(self.slot, self.state.missing_slots())
 
 
 class RecordTest(StepTestCase):
@@ -254,13 +254,13 @@
         fleet = self.make_fleet("a", "b", "c")
         a = fleet.host_by_id["a"]
         fleet.holder_of = {"a": "a"}
-        first = a.store._others(ACCOUNT, "s1", ZONE)[0]
+        first = a.store._replica_hosts(ACCOUNT, "s1", ZONE)[0]
         # The fleet still takes the host for alive, but it does not answer.
         fleet.links_by_id.pop(first)
         await a.front.submit(make_spec(samples=8))
         got, _ = await a.collect("s1")
         self.assertEqual(len(got), 16)
-        self.assertNotEqual(a.store._others(ACCOUNT, "s1", ZONE)[0], first)
+        self.assertNotEqual(a.store._replica_hosts(ACCOUNT, "s1", ZONE)[0], first)
 
     async def test_a_holder_dies_with_the_platform_out(self):
         fleet = self.make_fleet("a", "b")
@@ -271,8 +271,8 @@
         fleet.holder_of = {"a": "a", "b": "a"}
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1))
-        kept = b.links.handler_by_class
-        await _common.eventually(lambda: kept and len(_kept(b)) == 2)
+        handlers = b.links.handler_by_class
+        await _common.eventually(lambda: handlers and len(_replica_samples(b)) == 2)
         fleet.down.add("a")
         await a.close()
         made_before = {c["seed"] for c in fleet.engines.calls}
@@ -283,8 +283,8 @@
         self.assertEqual((seeds.count(0), seeds.count(1), seeds.count(2)), (1, 1, 2))
 
 
-def _kept(host):
-    return host.store._kept.samples(ACCOUNT, "s1")
+def _replica_samples(host):
+    return host.store._replicas.samples(ACCOUNT, "s1")
 
 
 class HandoverTest(StepTestCase):
@@ -295,7 +295,7 @@
         waiting = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[0] = [waiting]
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
-        with mock.patch.object(step_holder, "UNWANTED_MS", 1):
+        with mock.patch.object(step_holder, "RECENT_PULL_MS", 1):
             await a.front.submit(make_spec(groups=1, samples=1))
             await _common.eventually(lambda: fleet.engines.calls)
             fleet.holder_of = {"a": "b", "b": "b"}
@@ -391,8 +391,8 @@
                 store.save_sample(spec, sample, 0, ZONE)
                 for store, sample in zip(stores, pair, strict=True)
             )
-            kept = await asyncio.gather(*saves)
-            self.assertEqual(kept[0], kept[1])
+            handlers = await asyncio.gather(*saves)
+            self.assertEqual(handlers[0], handlers[1])
 
 
 class StalenessTest(StepTestCase):
--- a/test/test_stragglers.py
+++ b/test/test_stragglers.py
@@ -4,20 +4,20 @@
 
 from goldcrestmoor.version.steps.steps import Slot
 from goldcrestmoor.version.steps.stragglers import (
-    Continue,
-    Copy,
+    HedgeFromStart,
+    HedgeFromTokens,
     IndexOrder,
-    Lengths,
+    LengthEstimator,
+    NoHedge,
     Progress,
-    Wait,
-    decide,
+    decide_hedge,
     start_order,
 )
 from goldcrestmoor.version.weights.publish_interval import PublishIntervalEstimator
 
 
 def lengths(**tokens_by_group):
-    made = Lengths()
+    made = LengthEstimator()
     for group, tokens in tokens_by_group.items():
         made.add(int(group[1:]), tokens, tokens * 10)
     return made
@@ -36,7 +36,7 @@
         self.assertEqual(order, sorted(slots))
 
     def test_without_lengths_the_bound_decides(self):
-        order = start_order([Slot(0, 0), Slot(1, 0)], Lengths(), {0: 10, 1: 20})
+        order = start_order([Slot(0, 0), Slot(1, 0)], LengthEstimator(), {0: 10, 1: 20})
         self.assertEqual(order, [Slot(1, 0), Slot(0, 0)])
 
 
@@ -54,24 +54,28 @@
 class DecideTest(unittest.TestCase):
     def test_a_slow_stream_is_continued_elsewhere(self):
         slow = Progress(tokens=50, elapsed_ms=50_000, max_tokens=100)
-        decision = decide(slow, 0, lengths(g0=100), 1, 1)
+        decision = decide_hedge(slow, 0, lengths(g0=100), 1, 1)
         # 50 tokens remain: 50 s at its own rate; 0.5 s and the start elsewhere.
-        self.assertEqual(decision, Continue(49_200))
+        self.assertEqual(decision, HedgeFromTokens(49_200))
 
     def test_a_silent_start_is_copied(self):
         silent = Progress(tokens=0, elapsed_ms=5000, max_tokens=100)
-        self.assertIsInstance(decide(silent, 0, lengths(g0=50), 1, 1), Copy)
+        self.assertIsInstance(
+            decide_hedge(silent, 0, lengths(g0=50), 1, 1), HedgeFromStart
+        )
 
     def test_a_stream_at_the_usual_rate_is_left_alone(self):
         usual = Progress(tokens=50, elapsed_ms=500, max_tokens=100)
-        self.assertIsInstance(decide(usual, 0, lengths(g0=100), 1, 1), Wait)
+        self.assertIsInstance(decide_hedge(usual, 0, lengths(g0=100), 1, 1), NoHedge)
 
     def test_a_young_stream_is_not_judged(self):
         young = Progress(tokens=1, elapsed_ms=100, max_tokens=1000)
-        self.assertIsInstance(decide(young, 0, lengths(g0=900), 1, 1), Wait)
+        self.assertIsInstance(decide_hedge(young, 0, lengths(g0=900), 1, 1), NoHedge)
 
     def test_budget_and_idle_slots_bound_the_copies(self):
         slow = Progress(tokens=50, elapsed_ms=50_000, max_tokens=100)
         for idle, left in ((0, 1), (1, 0)):
-            self.assertIsInstance(decide(slow, 0, lengths(g0=100), idle, left), Wait)
-        self.assertIsInstance(decide(slow, 0, Lengths(), 1, 1), Wait)
+            self.assertIsInstance(
+                decide_hedge(slow, 0, lengths(g0=100), idle, left), NoHedge
+            )
+        self.assertIsInstance(decide_hedge(slow, 0, LengthEstimator(), 1, 1), NoHedge)
