--- a/goldcrestmoor/version/steps/__init__.py
+++ b/goldcrestmoor/version/steps/__init__.py
@@ -1,1 +1,1 @@
-"""Steps: the samples that trainers ask for, made, kept and handed out."""
+"""Steps: generating, storing and delivering the samples that trainers request."""
--- a/goldcrestmoor/version/steps/partial_outputs.py
+++ b/goldcrestmoor/version/steps/partial_outputs.py
@@ -1,14 +1,13 @@
-"""What ended streams of a step made, for the next try of their slots."""
+"""Partial outputs of failed streams, from which their slots' next attempts resume."""
 
 from goldcrestmoor.request.token_chunk import TokenChunk
 
 
 class PartialOutputs:
-    """Keep the longest of each slot's failed streams.
+    """Hold the output of the longest failed stream of each slot.
 
-    :param is_enabled: whether anything is kept at all.
-    :param partials: the ``Partial`` texts
-        that an earlier holder's streams had come to.
+    :param is_enabled: whether outputs are saved at all.
+    :param partials: the ``Partial`` outputs of an earlier holder's streams.
     """
 
     __slots__ = ("_is_enabled", "_chunks_by_slot")
@@ -25,7 +24,7 @@
                 self._chunks_by_slot[partial.slot] = chunks
 
     def save(self, stream):
-        """Keep the pieces of a stream that failed.
+        """Save the token chunks of a failed stream.
 
         :param stream: the :class:`~goldcrestmoor.version.steps.step_stream.Stream`.
         """
@@ -34,12 +33,13 @@
             self._chunks_by_slot[stream.slot] = stream.chunks
 
     def take(self, slot, max_tokens, oldest_version):
-        """Return the pieces that a slot's next stream goes on from, often none.
+        """Remove and return the chunks from which a slot's next stream resumes.
 
         :param slot: the slot.
-        :param max_tokens: the most tokens of a sample; pieces that have as many are
-            of no use, as they lack their end.
+        :param max_tokens: the maximum number of tokens of a sample; an output that has
+            reached it cannot be resumed, as its end-of-stream marker is missing.
         :param oldest_version: the oldest weight version that may be delivered.
+        :return: the chunks; empty when there are none that can be used.
         """
         chunks = self._chunks_by_slot.pop(slot, ())
         is_full = sum(chunk.tokens for chunk in chunks) >= max_tokens
@@ -48,7 +48,7 @@
         return chunks
 
     def forget(self, slot):
-        """Drop what is kept for a slot that has its sample.
+        """Drop the output saved for a slot that has its sample.
 
         :param slot: the slot.
         """
--- a/goldcrestmoor/version/steps/step_gateway.py
+++ b/goldcrestmoor/version/steps/step_gateway.py
@@ -1,4 +1,4 @@
-"""The steps' front on every host: it takes requests to the step's holder."""
+"""The gateway on each host that forwards trainers' requests to a step's holder."""
 
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.version.steps.step_messages import (
@@ -19,7 +19,7 @@
 
 
 class StepGateway:
-    """What trainers' requests come to, on whichever host they reach.
+    """Handle trainers' requests on whichever host receives them.
 
     :param clock: the clock.
     :param router: the :class:`~goldcrestmoor.version.steps.step_router.StepRouter`.
@@ -42,11 +42,11 @@
 
     @property
     def max_pull_samples(self):
-        """The most samples in one answer."""
+        """The maximum number of samples in one response."""
         return self._settings.max_pull_samples
 
     async def submit(self, spec):
-        """Accept a step at its holder.
+        """Submit a step to its holder.
 
         :param spec: the :class:`~goldcrestmoor.version.steps.steps.StepSpec`.
         :raises ServiceError: ``STEP_CONFLICT``, ``PLATFORM_UNAVAILABLE`` and others.
@@ -61,19 +61,19 @@
         )
 
     async def pull(self, message):
-        """Return samples that a trainer lacks, waiting for a first one.
+        """Return samples that a trainer does not have, waiting for the first one.
 
         :param message: the :class:`PullSamples`.
         :return: the :class:`PulledSamples`.
-        :raises ServiceError: ``STEP_UNKNOWN`` when the step has to be submitted.
+        :raises ServiceError: ``STEP_UNKNOWN`` when the step must be submitted first.
         """
         validate_step_name(message.step)
         started_ms = self._clock.now_ms()
         wait_ms = min(message.wait_ms, self._settings.pull_wait_ms)
         deadline = Deadline.after(self._clock, wait_ms)
         while True:
-            # The wait is cut into slices, so that a holder that dies or freezes
-            # meanwhile is noticed long before the caller's own wait is over.
+            # The wait is split into slices, so that a holder that fails or is paused
+            # meanwhile is detected long before the caller's own wait ends.
             slice_ms = min(deadline.remaining_ms(), PULL_SLICE_MS)
             limit = min(message.max_samples, self._settings.max_pull_samples)
             message_slice = _with_limits(message, slice_ms, limit)
@@ -92,7 +92,7 @@
         return answer
 
     async def cancel(self, account, step):
-        """Stop work on a step and forget it.
+        """Stop work on a step and delete it.
 
         :param account: the account's name.
         :param step: the step's name.
@@ -104,7 +104,7 @@
         )
 
     def _without_stale(self, message, answer):
-        """Return an answer without what went stale on its way from the holder."""
+        """Return a reply without samples that became stale since it was sent."""
         model = self._router.model(answer.pool)
         published = self._versions.published_by(message.account, model)
         bound = self._router.account(message.account).staleness_bound
--- a/goldcrestmoor/version/steps/step_holder.py
+++ b/goldcrestmoor/version/steps/step_holder.py
@@ -1,4 +1,4 @@
-"""Holding steps: accepting them, working on them and answering pulls."""
+"""The holder of steps: accepts steps, runs them and replies to pulls."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class _ActiveStep:
-    """A step held here, and the run that works on it in a task."""
+    """A step held by this host, with the run that fills it and the run's task."""
 
     __slots__ = ("state", "run", "task")
 
@@ -88,11 +88,11 @@
         links.register(CancelStep, self.on_cancel)
 
     def steps(self):
-        """Return the states of the steps held here."""
+        """Return the states of the steps held by this host."""
         return [active.state for active in self._active_by_key.values()]
 
     async def hand_over(self):
-        """Give up the steps held here, once what was made is kept elsewhere."""
+        """Release the held steps once their samples are stored on other hosts."""
         self._is_leaving = True
         deadline = Deadline.after(self._clock, HAND_OVER_TIMEOUT_MS)
         while not deadline.passed() and not all(
@@ -104,7 +104,7 @@
         await self.close()
 
     async def _hand_over_step(self, key):
-        # Pulls are answered here until the next holder can find all that was made.
+        # This host replies to pulls until the next holder can load every sample.
         active = self._active_by_key[key]
         partials = _limit_size(active.run.partials(), MAX_HAND_OVER_CHARACTERS)
         state = active.state
@@ -119,9 +119,9 @@
         await self._tasks.close()
 
     async def on_submit(self, sender_id, message):
-        """Accept a step and start on it.
+        """Accept a step and start to run it.
 
-        :param sender_id: the asking host.
+        :param sender_id: the requesting host.
         :param message: the :class:`SubmitStep`.
         """
         self._check_not_leaving()
@@ -136,14 +136,16 @@
             return wire.Done()
         self._check_capacity()
         place = await self._store.save_step(spec, zone)
-        log.info("Step %s of %s is accepted on %s.", spec.step, spec.account, place)
+        log.info(
+            "Step %s of %s accepted; stored on %s.", spec.step, spec.account, place
+        )
         await self._get_or_load(spec.account, spec.step, spec)
         return wire.Done()
 
     async def on_pull(self, sender_id, message):
-        """Return samples that a trainer lacks, waiting for a first one.
+        """Return samples that a trainer does not have, waiting for the first one.
 
-        :param sender_id: the asking host.
+        :param sender_id: the requesting host.
         :param message: the :class:`PullSamples`.
         :return: the :class:`PulledSamples`.
         """
@@ -171,7 +173,8 @@
         return PulledSamples(samples, complete, state.spec.pool)
 
     def _record_published(self, state):
-        # A trainer that has published a version has it, whichever its pulls named.
+        # A trainer has every version that it published, even if its pulls report an
+        # older one.
         model = self._router.model(state.spec.pool)
         state.record_version(self._versions.published_by(state.spec.account, model))
 
@@ -184,9 +187,9 @@
             self._metrics.samples.labels(account, "answered").inc(len(samples))
 
     async def on_cancel(self, sender_id, message):
-        """Stop work on a step and delete what is kept of it.
+        """Stop work on a step and delete its replicas and records.
 
-        :param sender_id: the asking host.
+        :param sender_id: the requesting host.
         :param message: the :class:`CancelStep`.
         """
         key = (message.account, message.step)
@@ -208,7 +211,7 @@
         try:
             return await asyncio.shield(load_task)
         except asyncio.CancelledError:
-            # The load ends with this host; its callers go on to the next one.
+            # The load was cancelled by this host's shutdown; callers try the next host.
             if load_task.cancelled():
                 self._check_not_leaving()
             raise
@@ -224,7 +227,9 @@
                 raise
             loaded = LoadedStep(spec)
         if loaded.spec is None:
-            raise ServiceError(ErrorKind.STEP_UNKNOWN, "The step is not known.")
+            raise ServiceError(
+                ErrorKind.STEP_UNKNOWN, "The step is unknown; submit it first."
+            )
         deadline = Deadline.after(self._clock, loaded.spec.deadline_ms)
         state = StepState(loaded.spec, zone, deadline, self._clock.now_ms())
         state.holder_version = loaded.holder_version
@@ -263,8 +268,8 @@
             del self._active_by_key[key]
 
     def _should_continue(self, state):
-        # A host that is no longer the holder goes on while pulls still reach it,
-        # then leaves the rest to the new one. What it made is kept elsewhere.
+        # A host that is no longer the holder continues while it still receives pulls,
+        # then leaves the rest to the new holder. Its samples are stored on other hosts.
         self._record_published(state)
         if state.is_superseded:
             return False
@@ -282,10 +287,10 @@
 
     def _check_capacity(self):
         if len(self._active_by_key) + len(self._load_task_by_key) > MAX_STEPS:
-            raise ServiceError(ErrorKind.OVERLOADED, "Too many steps are held here.")
+            raise ServiceError(ErrorKind.OVERLOADED, "This host holds too many steps.")
 
     async def _stop(self, key):
-        # What still runs would have others keep the step anew.
+        # A run that continued would have other hosts store the step again.
         active = self._active_by_key.pop(key, None)
         if active is not None:
             active.task.cancel()
@@ -301,12 +306,14 @@
                 await self._store.records.delete(*key)
             except ServiceError as e:
                 log.info(
-                    "The records of step %s are left to the sweeper: %s", key[1], e
+                    "Deletion of the records of step %s is left to the sweeper: %s",
+                    key[1],
+                    e,
                 )
 
 
 def _limit_size(partials, max_characters):
-    """Yield partial texts until they exceed a bound."""
+    """Yield partial outputs until their total length exceeds a limit."""
     total = 0
     for partial in partials:
         total += sum(len(segment.text) for segment in partial.segments)
--- a/goldcrestmoor/version/steps/step_messages.py
+++ b/goldcrestmoor/version/steps/step_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell one another about steps."""
+"""Messages between daemons about steps."""
 
 import msgspec
 
@@ -8,16 +8,16 @@
 
 
 class StoreStep(wire.Message, frozen=True):
-    """Keep a step's specification for its holder."""
+    """Request to store a step's specification for its holder."""
 
     spec: StepSpec
 
 
 class StoreSamples(wire.Message, frozen=True):
-    """Keep samples of a step for its holder.
+    """Request to store samples of a step for its holder.
 
     :param digest: the digest of the step's specification.
-    :param floor: the oldest weight version that the trainer still takes.
+    :param floor: the oldest weight version that the trainer still accepts.
     """
 
     account: str
@@ -28,13 +28,13 @@
 
 
 class StoredSamples(wire.Message, frozen=True):
-    """What a host keeps for the slots of a :class:`StoreSamples`.
+    """The samples that a host stores for the slots of a :class:`StoreSamples`.
 
-    :param known: whether the host has the step's specification; it keeps nothing
-        without.
-    :param samples: the samples that came first for these slots.
-    :param settled: whether they are to stay; else the host asks others about its own
-        ones itself.
+    :param known: whether the host has the step's specification; it stores no samples
+        without it.
+    :param samples: the first samples that the host received for these slots.
+    :param settled: whether the samples are final; otherwise some are the host's own
+        and pending, and the host is asking other hosts about them.
     """
 
     known: bool
@@ -43,7 +43,7 @@
 
 
 class Partial(msgspec.Struct, frozen=True):
-    """What came in for a slot before its stream was given up.
+    """The output received for a slot before its stream was stopped.
 
     :param slot: the slot.
     :param segments: the text, by weight version.
@@ -54,21 +54,21 @@
 
 
 class HandOverStep(wire.Message, frozen=True):
-    """Keep what a leaving holder's streams had come to, for the next holder."""
+    """Request to store a leaving holder's partial outputs for the next holder."""
 
     spec: StepSpec
     partials: tuple[Partial, ...]
 
 
 class FetchStep(wire.Message, frozen=True):
-    """Ask for what a host keeps of a step."""
+    """Request for a host's replica of a step."""
 
     account: str
     step: str
 
 
 class KeptStep(wire.Message, frozen=True):
-    """What a host keeps of a step; no specification when it keeps nothing."""
+    """A host's replica of a step; without specification when there is none."""
 
     spec: StepSpec | None = None
     samples: tuple[Sample, ...] = ()
@@ -76,26 +76,26 @@
 
 
 class ForgetStep(wire.Message, frozen=True):
-    """Drop what is kept of a step that needs no more work."""
+    """Request to drop the replica of a step that needs no more work."""
 
     account: str
     step: str
 
 
 class SubmitStep(wire.Message, frozen=True):
-    """Ask the holder to accept a step and to start on it."""
+    """Request that the holder accepts a step and starts to run it."""
 
     spec: StepSpec
 
 
 class PullSamples(wire.Message, frozen=True):
-    """Ask the holder for samples that the trainer lacks.
+    """Request to the holder for samples that the trainer does not have.
 
-    :param groups_held: groups that the trainer has whole.
-    :param held: further slots that it has.
+    :param groups_held: groups of which the trainer has every sample.
+    :param held: further slots whose samples the trainer has.
     :param version: the trainer's weight version.
-    :param wait_ms: how long to wait for a first sample, in milliseconds.
-    :param max_samples: the most samples to answer with.
+    :param wait_ms: how long to wait for the first sample, in milliseconds.
+    :param max_samples: the maximum number of samples to return.
     """
 
     account: str
@@ -108,10 +108,10 @@
 
 
 class PulledSamples(wire.Message, frozen=True):
-    """Samples that the trainer lacks.
+    """Samples that the trainer does not have.
 
-    :param complete: whether the trainer has the whole step with these.
-    :param pool: the pool whose engines made them.
+    :param complete: whether the trainer has the complete step with these samples.
+    :param pool: the pool whose engines generated the samples.
     """
 
     samples: tuple[Sample, ...]
@@ -120,7 +120,7 @@
 
 
 class CancelStep(wire.Message, frozen=True):
-    """Stop work on a step and forget it."""
+    """Request to stop work on a step and to delete it."""
 
     account: str
     step: str
--- a/goldcrestmoor/version/steps/step_recorder.py
+++ b/goldcrestmoor/version/steps/step_recorder.py
@@ -1,4 +1,4 @@
-"""Recording the samples of one step, before they are handed out."""
+"""Recording the samples of one step before they are delivered."""
 
 import logging
 
@@ -11,7 +11,7 @@
 
 
 class StepRecorder:
-    """Record whole groups on the platform and single samples on another host.
+    """Record complete groups on the platform and single samples on other hosts.
 
     :param state: the :class:`~goldcrestmoor.version.steps.step_state.StepState`.
     :param store: the :class:`~goldcrestmoor.version.steps.step_store.StepStore`.
@@ -36,16 +36,16 @@
         self._unsaved = set()
 
     def start(self):
-        """Start to record every group that is whole and not recorded."""
+        """Start to record every group that is complete and not yet recorded."""
         now_ms = self._clock.now_ms()
         for group in self._state.group_by_index:
             if self._next_attempt_ms_by_group.get(group, 0) > now_ms:
                 continue
             samples = self._state.unrecorded_samples(group)
-            # Other hosts are asked first, so that no sample waits for the platform
-            # and two holders that share a replica record the same ones.
+            # Samples are stored on other hosts first, so that no sample waits for the
+            # platform and two holders that share a replica record the same samples.
             if samples and all(self._is_confirmed(sample) for sample in samples):
-                # The entry keeps a second writer away until this one has ended.
+                # The entry prevents a second write until this one has ended.
                 self._next_attempt_ms_by_group[group] = self._state.deadline.at_ms
                 self._tasks.start(self._record(group, samples))
 
@@ -53,20 +53,20 @@
         return self._state.is_deliverable(sample.slot) or sample.digest in self._unsaved
 
     async def save(self, sample, floor):
-        """Have another host keep a new sample.
+        """Store a new sample on other hosts.
 
         :param sample: the sample.
-        :param floor: the oldest weight version that the trainer still takes.
+        :param floor: the oldest weight version that the trainer still accepts.
         """
         state = self._state
         winner = await self._store.save_sample(state.spec, sample, floor, state.zone)
         if winner is None and state.unrecorded_samples(sample.slot.group):
-            # The group's record is tried before it is handed out without either.
+            # The group's record is attempted before the sample is delivered unstored.
             self._unsaved.add(sample.digest)
             self.start()
             return
-        # With no other host alive the sample is handed out all the same: a slot
-        # that the trainer has is never answered again, recorded or not.
+        # The sample is delivered even if no other host is alive: a slot that the
+        # trainer has is never delivered again, whether or not it was recorded.
         state.confirm(sample, winner or sample)
 
     async def _record(self, group, samples):
@@ -75,17 +75,25 @@
         records = self._store.records
         try:
             if state.holder_version is None:
-                # The platform was out when this host became the holder.
+                # The platform was unavailable when this host became the holder.
                 state.holder_version = await records.take_over(state.spec)
             record = await records.save_group(
                 state.spec, group, round_number, samples, state.holder_version
             )
         except Superseded:
-            log.info("Step %s has another holder.", state.spec.step)
+            log.info(
+                "Step %s stops here: another host has become its holder.",
+                state.spec.step,
+            )
             state.supersede()
             return
         except ServiceError as e:
-            log.info("Group %s of step %s waits: %s", group, state.spec.step, e)
+            log.info(
+                "Group %s of step %s was not recorded yet: %s",
+                group,
+                state.spec.step,
+                e,
+            )
             for sample in samples:
                 state.confirm(sample, sample)
             retry_ms = max(RETRY_MS, e.retry_after_ms)
@@ -94,6 +102,10 @@
         finally:
             self._unsaved.difference_update(sample.digest for sample in samples)
         if not record.own:
-            log.info("Group %s of step %s was recorded before.", group, state.spec.step)
+            log.info(
+                "Group %s of step %s was already recorded by another write.",
+                group,
+                state.spec.step,
+            )
         del self._next_attempt_ms_by_group[group]
         state.apply_record(record)
--- a/goldcrestmoor/version/steps/step_records.py
+++ b/goldcrestmoor/version/steps/step_records.py
@@ -1,4 +1,4 @@
-"""The records of steps on the platform: specifications and finished groups."""
+"""The records of steps on the platform: specifications and complete groups."""
 
 import contextlib
 import logging
@@ -21,7 +21,7 @@
 
 
 class StepRow(msgspec.Struct, frozen=True):
-    """The row of a step: which specification was accepted, and by which write."""
+    """The row of a step: the accepted specification and the write that created it."""
 
     digest: str
     object_key: str
@@ -30,7 +30,7 @@
 
 
 class GroupRow(msgspec.Struct, frozen=True):
-    """The row of one round of a group: which object holds its samples."""
+    """The row of one round of a group, which points to the object with its samples."""
 
     object_key: str
     token: str
@@ -38,18 +38,18 @@
 
 
 class HolderRow(msgspec.Struct, frozen=True):
-    """The row that grows with each host that becomes a step's holder."""
+    """The row of a step's holder; its version grows with each change of holder."""
 
     token: str
     expires_wall_ms: int = 0
 
 
 class Superseded(Exception):
-    """Another host has become the step's holder; nothing was recorded."""
+    """Raised when another host has become the step's holder; nothing was recorded."""
 
 
 class _ExpiringRow(msgspec.Struct):
-    """What all kinds of rows say of their end."""
+    """The fields that all kinds of rows use for their deletion."""
 
     object_key: str = ""
     expires_wall_ms: int = 0
@@ -59,9 +59,9 @@
     """One recorded round of a group.
 
     :param group: the group's index.
-    :param round: 0 for the first; more when stale samples were made again.
-    :param samples: the samples that won the record.
-    :param own: whether this host's write won.
+    :param round: 0 for the first; higher when stale samples were generated again.
+    :param samples: the samples of the write that came first.
+    :param own: whether that was this host's write.
     """
 
     group: int
@@ -71,7 +71,7 @@
 
 
 class StepRecords:
-    """Write each record once, read it back and delete it in the end.
+    """Create each record at most once, read it and finally delete it.
 
     :param clock: the clock.
     :param table: a ``TableClient``.
@@ -86,11 +86,11 @@
         self._objects = objects
 
     async def save_spec(self, spec):
-        """Record a specification unless the same one is recorded already.
+        """Record a specification unless the same one is already recorded.
 
         :param spec: the :class:`StepSpec`.
-        :raises ServiceError: ``STEP_CONFLICT`` when the step has another one;
-            the platform's errors when it cannot be told.
+        :raises ServiceError: ``STEP_CONFLICT`` when the step has another
+            specification; the platform's errors when the outcome is not known.
         """
         digest = spec_digest(spec)
         object_key = f"steps/{spec.account}/{spec.step}/{digest}"
@@ -104,9 +104,9 @@
             )
 
     async def take_over(self, spec):
-        """Become a step's holder, so that no earlier one records any more.
+        """Become a step's holder, so that earlier holders can no longer record.
 
-        What earlier holders recorded is to be read after this.
+        Earlier holders' records must be read after this call.
 
         :param spec: the step's specification.
         :return: the version of the holder's row, for :meth:`save_group`.
@@ -130,7 +130,9 @@
                 continue
             if not isinstance(answer, CheckFailed):
                 return answer.version_by_key[f"{HOLDERS_TABLE}/{key}"]
-        raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, f"Cannot take over {key}.")
+        raise ServiceError(
+            ErrorKind.PLATFORM_UNAVAILABLE, f"Step {key} could not be taken over."
+        )
 
     async def load_spec(self, account, step):
         """Return a step's recorded specification, or None.
@@ -159,10 +161,10 @@
             await self._delete(table, [row] if row else [])
 
     async def delete_expired(self, max_rows):
-        """Delete records whose step is long past its deadline.
+        """Delete records of steps whose deadline and retention time have passed.
 
-        :param max_rows: how many at most.
-        :return: how many were deleted.
+        :param max_rows: the maximum number of rows to delete.
+        :return: the number of deleted rows.
         """
         deleted = 0
         for table in (GROUPS_TABLE, HOLDERS_TABLE, STEPS_TABLE):
@@ -176,13 +178,13 @@
     async def _delete(self, table, rows):
         for start in range(0, len(rows), ROWS_PER_TRANSACTION):
             batch = rows[start : start + ROWS_PER_TRANSACTION]
-            # The object goes first: a row that is left over is found again.
+            # The object is deleted first: a row that remains is found by the next scan.
             for row in batch:
                 found = msgspec.msgpack.decode(row.value, type=_ExpiringRow)
                 if found.object_key:
                     await self._objects.delete(found.object_key)
-            # A row that was written anew meanwhile keeps the whole batch; what is
-            # left expires.
+            # A row that was written again meanwhile fails the whole batch; the
+            # remaining rows are deleted once they expire.
             checks = [Check(table, row.key, row.version) for row in batch]
             writes = [Write(table, row.key, None) for row in batch]
             await self._table.transact(checks, writes)
@@ -197,15 +199,15 @@
         return self._clock.wall_ms() + spec.deadline_ms + RETENTION_MS
 
     async def save_group(self, spec, group, number, samples, holder_version=None):
-        """Record one round of a group, or learn what was recorded before.
+        """Record one round of a group, or return the record that already exists.
 
         :param spec: the step's specification.
         :param group: the group's index.
         :param number: the round.
-        :param samples: the samples made here.
-        :param holder_version: the version of the holder's row that must still
-            stand; not looked at when left out.
-        :return: the :class:`GroupRecord` that won.
+        :param samples: the samples generated by this host.
+        :param holder_version: the version that the holder's row must still have; not
+            checked when None.
+        :return: the :class:`GroupRecord` that was created first.
         :raises Superseded: when another host has become the holder.
         """
         data = msgspec.msgpack.encode(tuple(samples))
@@ -241,9 +243,9 @@
         return sorted(records, key=lambda record: (record.group, record.round))
 
     async def _create(self, table, key, row, extra_checks=()):
-        # A write whose answer was lost is tried again: the row can be created only
-        # once, so the repeat either succeeds or finds the row, whose token tells
-        # which of the writes created it.
+        # A write whose reply was lost is sent again: the row can be created only once,
+        # so the repeat either succeeds or finds the row, whose token identifies the
+        # write that created it.
         value = msgspec.msgpack.encode(row)
         for attempt in range(WRITE_ATTEMPTS):
             try:
@@ -253,7 +255,7 @@
             except ServiceError as e:
                 if e.kind != ErrorKind.OUTCOME_UNKNOWN or attempt + 1 == WRITE_ATTEMPTS:
                     raise
-                log.info("The answer to a write of %s was lost; asking again.", key)
+                log.info("A write of %s got no reply; sending it again.", key)
                 continue
             if not isinstance(answer, CheckFailed):
                 return row
@@ -262,10 +264,14 @@
                 return msgspec.msgpack.decode(found.value, type=type(row))
             if answer.table == HOLDERS_TABLE:
                 raise Superseded
-        raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, f"Cannot settle {key}.")
+        raise ServiceError(
+            ErrorKind.OUTCOME_UNKNOWN, f"The outcome of the write of {key} is unknown."
+        )
 
     async def _load(self, object_key, kind):
         data = await self._objects.get(object_key)
         if data is None:
-            raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, "An object is missing.")
+            raise ServiceError(
+                ErrorKind.PLATFORM_UNAVAILABLE, "A recorded object is missing."
+            )
         return msgspec.msgpack.decode(data, type=kind)
--- a/goldcrestmoor/version/steps/step_replicas.py
+++ b/goldcrestmoor/version/steps/step_replicas.py
@@ -1,4 +1,4 @@
-"""What this host keeps of steps, for their holders on other hosts and for its own."""
+"""Replicas of steps on this host, for holders on other hosts and on this one."""
 
 import collections
 
@@ -19,7 +19,7 @@
 
 
 class _Replica:
-    """A step that is kept; samples made here are pending until they are settled."""
+    """A replica of one step; this host's own samples are pending until confirmed."""
 
     __slots__ = ("spec", "digest", "sample_by_slot", "pending", "partials", "deadline")
 
@@ -33,7 +33,7 @@
 
 
 class StepReplicas:
-    """Specifications and samples by step; the first sample of a slot stays.
+    """Specifications and samples by step; the first sample of each slot is retained.
 
     :param clock: the clock.
     :param links: the ``PeerLinks``.
@@ -51,17 +51,17 @@
         links.register(ForgetStep, self._on_forget_step)
 
     def samples(self, account, step):
-        """Return the samples kept of a step, by slot."""
+        """Return the samples stored for a step, by slot."""
         replica = self._replica_by_key.get((account, step))
         return dict(replica.sample_by_slot) if replica else {}
 
     def claim(self, spec, sample, floor):
-        """Keep a sample of this host's own, as pending, unless its slot has one.
+        """Store this host's own sample as pending, unless its slot has a sample.
 
         :param spec: the step's specification.
         :param sample: the sample.
-        :param floor: the oldest weight version that the trainer still takes.
-        :return: the sample that came first, or None.
+        :param floor: the oldest weight version that the trainer still accepts.
+        :return: the earlier sample of the slot, or None.
         """
         replica = self._get_or_create(spec)
         earlier = replica.sample_by_slot.get(sample.slot)
@@ -72,17 +72,17 @@
         return None
 
     def confirm(self, spec, winner):
-        """Let a slot's sample stay for good.
+        """Make a sample final for its slot.
 
         :param spec: the step's specification.
-        :param winner: the sample that the slot goes to.
+        :param winner: the sample that was chosen for the slot.
         """
         replica = self._get_or_create(spec)
         replica.pending.discard(winner.slot)
         replica.sample_by_slot[winner.slot] = winner
 
     def fetch(self, message):
-        """Return what is kept of a step, as a :class:`KeptStep`.
+        """Return the replica of a step, as a :class:`KeptStep`.
 
         :param message: the :class:`FetchStep`.
         """
@@ -95,7 +95,7 @@
         )
 
     def forget(self, message):
-        """Drop what is kept of a step.
+        """Drop the replica of a step.
 
         :param message: the :class:`ForgetStep`.
         """
@@ -126,8 +126,8 @@
         if replica is None or replica.digest != message.digest:
             return StoredSamples(False)
         for sample in message.samples:
-            # The first sample of a slot stays, whichever holder it came from,
-            # unless it has become too old for the trainer.
+            # The first sample of a slot is retained, whichever holder sent it, unless
+            # it has become too old for the trainer.
             earlier = replica.sample_by_slot.get(sample.slot)
             if earlier is None or oldest_version(earlier) < message.floor:
                 replica.sample_by_slot[sample.slot] = sample
--- a/goldcrestmoor/version/steps/step_router.py
+++ b/goldcrestmoor/version/steps/step_router.py
@@ -1,4 +1,4 @@
-"""Finding the holder of a step and asking it."""
+"""Finding the holder of a step and forwarding messages to it."""
 
 import logging
 
@@ -11,7 +11,7 @@
 
 
 class StepRouter:
-    """Take messages about a step to its holder.
+    """Forward messages about a step to its holder.
 
     :param links: the ``PeerLinks``.
     :param ownership: the ``Ownership``.
@@ -30,14 +30,14 @@
         self._host_id = host_id
 
     async def call_holder(self, account, step, message, timeout_ms, handle_locally):
-        """Have a message handled by the holder, or by the next host that can.
+        """Send a message to the holder, or to the next candidate that accepts it.
 
         :param account: the account's name.
         :param step: the step's name.
         :param message: the message.
         :param timeout_ms: how long to wait for each host, in milliseconds.
         :param handle_locally: the message handler of this host.
-        :return: the answer.
+        :return: the reply.
         """
         found_account = self.account(account)
         first = self._ownership.holder_of_step(found_account, step)
@@ -49,7 +49,12 @@
             except ServiceError as e:
                 if e.kind not in _FAILOVER_KINDS:
                     raise
-                log.info("Host %s does not hold step %s: %s", host_id, step, e)
+                log.info(
+                    "Host %s does not hold step %s; trying the next host: %s",
+                    host_id,
+                    step,
+                    e,
+                )
         return await self._call(last, message, timeout_ms, handle_locally)
 
     def _candidates(self, first, others):
@@ -62,7 +67,7 @@
         return await self._links.call(host_id, message, timeout_ms)
 
     def is_local_holder(self, account, step):
-        """Tell whether this host is a step's holder, as far as it knows.
+        """Return whether this host is a step's holder by its own configuration.
 
         :param account: the account's name.
         :param step: the step's name.
@@ -92,8 +97,8 @@
         """Return an account.
 
         :param name: its name.
-        :raises ServiceError: ``CONFIG_LAPSED`` when this host is cut off and does not
-            serve it meanwhile, else ``FORBIDDEN``.
+        :raises ServiceError: when this host does not serve the account:
+            ``CONFIG_LAPSED`` while its lease is expired, else ``FORBIDDEN``.
         """
         view = self._lease.view()
         account = view.configuration.accounts_by_name.get(name)
@@ -101,5 +106,5 @@
             kind = (
                 ErrorKind.CONFIG_LAPSED if view.lease_expired else ErrorKind.FORBIDDEN
             )
-            raise ServiceError(kind, "The account is not served here.")
+            raise ServiceError(kind, "This host does not serve the account.")
         return account
--- a/goldcrestmoor/version/steps/step_routes.py
+++ b/goldcrestmoor/version/steps/step_routes.py
@@ -1,4 +1,4 @@
-"""The HTTP routes of trainers."""
+"""The HTTP routes for trainers."""
 
 import msgspec
 from blacksheep import Content, Response
@@ -34,8 +34,8 @@
 class SubmitBody(_StrictBody, frozen=True):
     """The body of ``POST /v1/steps``.
 
-    :param model: the pool whose engines make the samples.
-    :param deadline_ms: how long the step is worked on, in milliseconds.
+    :param model: the pool whose engines generate the samples.
+    :param deadline_ms: how long a holder works on the step, in milliseconds.
     """
 
     step: str
@@ -49,10 +49,10 @@
     """The body of ``POST /v1/steps/{step}/pull``.
 
     :param version: the trainer's weight version.
-    :param held: slots that the trainer has.
-    :param groups_held: groups that it has whole.
-    :param wait_ms: how long to wait for a first sample, in milliseconds.
-    :param max: the most samples to answer with; 0 for the service's own bound.
+    :param held: slots whose samples the trainer has.
+    :param groups_held: groups of which the trainer has every sample.
+    :param wait_ms: how long to wait for the first sample, in milliseconds.
+    :param max: the maximum number of samples to return; 0 for the service's limit.
     """
 
     version: int
@@ -63,9 +63,9 @@
 
 
 class PullAnswer(msgspec.Struct, frozen=True):
-    """The answer to a pull.
+    """The response to a pull.
 
-    :param complete: whether the trainer has the whole step with these samples.
+    :param complete: whether the trainer has the complete step with these samples.
     """
 
     samples: tuple[Sample, ...]
@@ -73,7 +73,7 @@
 
 
 class StepAnswer(msgspec.Struct, frozen=True):
-    """The answer to a submission or a cancellation."""
+    """The response to a submission or a cancellation."""
 
     step: str
 
@@ -86,18 +86,18 @@
 
 
 def register_routes(app, *, authenticator, steps, weights):
-    """Add the trainers' routes to an application.
+    """Register the trainers' routes in an application.
 
     :param app: the blacksheep application.
     :param authenticator: the ``Authenticator``.
     :param steps: the :class:`~goldcrestmoor.version.steps.step_gateway.StepGateway`.
-    :param weights: takes new weight versions, by ``publish``.
+    :param weights: publishes new weight versions, by its ``publish`` method.
     """
 
     async def submit(request):
         account, body = await _read_request(authenticator, request, SubmitBody)
         if body.model not in account.pools:
-            raise ServiceError(ErrorKind.FORBIDDEN, "The pool is not the account's.")
+            raise ServiceError(ErrorKind.FORBIDDEN, "The account may not use the pool.")
         groups = tuple(
             GroupSpec(g.index, g.prompt, g.samples, g.max_tokens, g.seed)
             for g in body.groups
@@ -126,7 +126,7 @@
             body.max if body.max > 0 else steps.max_pull_samples,
         )
         answer = await steps.pull(message)
-        # The pull may have waited long, and its account be gone meanwhile.
+        # The account may have been dropped while the pull was waiting.
         _trainer_account(authenticator, request)
         return _json_response(PullAnswer(answer.samples, answer.complete))
 
@@ -152,12 +152,12 @@
 def _trainer_account(authenticator, request):
     account = authenticator.account(list(request.headers))
     if account.kind != "trainer":
-        raise ServiceError(ErrorKind.FORBIDDEN, "The account is not a trainer's.")
+        raise ServiceError(ErrorKind.FORBIDDEN, "The account is not of kind trainer.")
     return account
 
 
 async def _read_request(authenticator, request, kind):
-    """Return the account and the body, which may have taken long to come."""
+    """Authenticate before and after reading the body, which may take long."""
     _trainer_account(authenticator, request)
     body = await read_json(request, kind)
     return _trainer_account(authenticator, request), body
--- a/goldcrestmoor/version/steps/step_rows.py
+++ b/goldcrestmoor/version/steps/step_rows.py
@@ -1,13 +1,13 @@
-"""What ``SHOW STEPS`` tells of the steps that a host holds."""
+"""The rows of ``SHOW STEPS``: the steps that a host holds."""
 
 COLUMNS = ("account", "step", "pool", "slots", "made", "held", "version", "left_ms")
 
 
 def make_source(holder):
-    """Return a source for the operators' language.
+    """Return a table source for the operators' language.
 
     :param holder: the :class:`~goldcrestmoor.version.steps.step_holder.StepHolder`.
-    :return: async, takes nothing and returns the columns and the rows.
+    :return: an async function without parameters that returns columns and rows.
     """
 
     async def source():
--- a/goldcrestmoor/version/steps/step_run.py
+++ b/goldcrestmoor/version/steps/step_run.py
@@ -1,4 +1,4 @@
-"""Making the samples of one step: start, watch, hedge, record."""
+"""Generating the samples of one step: starting, watching and hedging streams."""
 
 import asyncio
 import contextlib
@@ -34,14 +34,13 @@
     :param lease: the ``ConfigurationLease``.
     :param decisions: the ``DecisionLog``.
     :param metrics: the ``Metrics``.
-    :param hedge_percent: second copies allowed, of the step's slots.
-    :param should_continue: tells whether this host is still to work on the step.
+    :param hedge_percent: the maximum number of hedges, as a percentage of the slots.
+    :param should_continue: returns whether this host should still work on the step.
     :param start_order: a class of :mod:`goldcrestmoor.version.steps.stragglers`.
-    :param resumes: whether a slot that is tried again goes on from its tokens.
-    :param drops_early: whether a stream is stopped that is expected to be too old
-        when it ends.
-    :param partials: the ``Partial`` texts
-        that an earlier holder's streams had come to.
+    :param resumes: whether a slot's next attempt resumes from the tokens received.
+    :param drops_early: whether to stop a stream that is expected to be too old by
+        the time it ends.
+    :param partials: the ``Partial`` outputs of an earlier holder's streams.
     """
 
     def __init__(
@@ -83,7 +82,7 @@
         )
 
     async def run(self):
-        """Work until the deadline, until another host holds the step or cancelled."""
+        """Run until the deadline, a change of holder or cancellation."""
         try:
             while not self._state.deadline.passed() and self._should_continue(
                 self._state
@@ -101,7 +100,7 @@
             await self._tasks.close()
 
     def partials(self):
-        """Yield what the streams have come to, the longest of each slot."""
+        """Yield the longest partial output of each slot's streams."""
         for slot, streams in self._streams_by_slot.items():
             longest = max(streams, key=Stream.tokens)
             if longest.chunks and longest.has_versions():
@@ -114,7 +113,11 @@
     def _drop_stale(self, account):
         for slot in self._state.drop_stale(account.staleness_bound):
             self._count_samples("dropped_stale")
-            log.info("Slot %s of step %s went stale.", slot, self._state.spec.step)
+            log.info(
+                "Slot %s of step %s became stale; its sample is generated again.",
+                slot,
+                self._state.spec.step,
+            )
         version = self._state.trainer_version
         self._publish_interval.record(version, self._clock.now_ms())
         oldest = self._min_version(account)
@@ -124,19 +127,19 @@
                 case VersionChangePolicy.CANCEL:
                     oldest = version
                 case VersionChangePolicy.FINISH | VersionChangePolicy.RESUME:
-                    # The engine finishes or resumes a stream across its swap; here
-                    # only those that cannot come in under the bound are stopped.
+                    # The engine finishes or resumes a stream across its weight swap;
+                    # only streams older than the staleness bound are stopped here.
                     pass
         for streams in list(self._streams_by_slot.values()):
             for stream in list(streams):
                 if stream.has_older_version(oldest):
-                    self._stop(stream, "Too old for the trainer's version.")
+                    self._stop(stream, "It is too old for the trainer's version.")
                 elif self._will_exceed_staleness(stream, account.staleness_bound):
                     self._count_samples("dropped_early")
                     self._stop(stream, "It will be too old when it ends.")
 
     def _will_exceed_staleness(self, stream, bound):
-        """Tell whether a stream will be too old, and one begun now would not be."""
+        """Return whether a stream, unlike a new one, will be too old when it ends."""
         if not self._drops_early or not stream.chunks:
             return False
         now_ms = self._clock.now_ms()
@@ -166,7 +169,7 @@
         missing = self._state.missing_slots()
         for slot in [s for s in self._streams_by_slot if s not in missing]:
             for stream in list(self._streams_by_slot[slot]):
-                self._stop(stream, "The slot needs no sample.")
+                self._stop(stream, "The slot no longer needs a sample.")
         now_ms = self._clock.now_ms()
         idle_slots = self._stream_limit() - self._running_count()
         startable = [
@@ -254,7 +257,9 @@
             return None
         if not stream.has_versions():
             self._count_samples("dropped_no_version")
-            log.warning("An engine stated no version; its sample is dropped.")
+            log.warning(
+                "A sample was dropped because its engine reported no weight version."
+            )
             return None
         if stream.has_older_version(self._min_version(account)):
             self._count_samples("dropped_stale")
@@ -262,8 +267,8 @@
         return stream.sample()
 
     def _retry_later(self, stream, after_ms=0):
-        # The backoff's jitter keeps the slots of a step from coming back all at once
-        # after an engine's crash.
+        # The backoff's jitter prevents all slots of a step from being retried at once
+        # after an engine crash.
         _, backoff = self._retry_by_slot.get(stream.slot) or (
             0,
             util.Backoff(RETRY_MIN_MS, RETRY_MAX_MS),
@@ -280,7 +285,7 @@
         elapsed_ms = self._clock.now_ms() - stream.started_ms
         self._length_estimator.add(stream.group.index, stream.tokens(), elapsed_ms)
         for other in list(self._streams_by_slot.get(stream.slot, ())):
-            self._stop(other, "Another copy finished first.")
+            self._stop(other, "Another stream of the slot finished first.")
         if stream.is_hedge:
             self._count_samples("hedge_won")
         await self._recorder.save(sample, self._min_version(account))
@@ -312,7 +317,7 @@
     def _start_hedge(self, stream, chunks, gain_ms, account):
         self._hedges_left -= 1
         self._count_samples("hedged")
-        text = f"A second copy starts, to save about {gain_ms} ms."
+        text = f"A hedge starts; it is expected to save {gain_ms} ms."
         self._decisions.record("steps", stream.request_id, text)
         now_ms = self._clock.now_ms()
         hedge = Stream(stream.slot, stream.group, now_ms, chunks, is_hedge=True)
--- a/goldcrestmoor/version/steps/step_store.py
+++ b/goldcrestmoor/version/steps/step_store.py
@@ -1,4 +1,4 @@
-"""Where steps are kept: the platform, or two hosts while it is out."""
+"""Storage of steps: the platform, or two hosts while it is unavailable."""
 
 import asyncio
 import collections
@@ -36,20 +36,20 @@
 
 
 class StorageLocation(enum.StrEnum):
-    """Where something is recorded."""
+    """Where a step is stored."""
 
     PLATFORM = "the platform"
     REPLICA = "two hosts"
 
 
 class LoadedStep(msgspec.Struct, frozen=True):
-    """A step as a new holder finds it.
+    """A step as loaded by a new holder.
 
     :param spec: the specification, or None.
     :param groups: the recorded rounds of its groups.
-    :param replica: what other hosts keep besides.
+    :param replica: the samples and partial outputs that hosts store.
     :param holder_version: the version of the holder's row; None while the platform
-        is out.
+        is unavailable.
     """
 
     spec: StepSpec | None
@@ -59,7 +59,7 @@
 
 
 class StepStore:
-    """Record steps and samples, and find them again after a holder's death.
+    """Store steps and samples, and load them again after a holder's failure.
 
     :param clock: the clock.
     :param table: a ``TableClient``.
@@ -83,8 +83,8 @@
     def candidate_hosts(self, account, step, zone):
         """Return the hosts that may hold a step, best first.
 
-        Hosts of the account's zone come first, so that a zone that is cut off can
-        go on with its own steps.
+        Hosts of the account's zone come first, so that a partitioned zone can continue
+        its own steps.
 
         :param account: the account's name.
         :param step: the step's name.
@@ -106,7 +106,7 @@
         :param zone: the account's zone.
         :return: the :class:`StorageLocation`.
         :raises ServiceError: ``STEP_CONFLICT``, or ``PLATFORM_UNAVAILABLE`` when
-            neither the platform nor another host can keep it.
+            neither the platform nor another host can store it.
         """
         try:
             await self.records.save_spec(spec)
@@ -121,20 +121,21 @@
             )
         if not await self._replicate(StoreStep(spec), zone):
             raise ServiceError(
-                ErrorKind.PLATFORM_UNAVAILABLE, "Nothing can keep the step."
+                ErrorKind.PLATFORM_UNAVAILABLE,
+                "Neither the platform nor another host can store the step.",
             )
         self._enqueue_write(spec)
         return StorageLocation.REPLICA
 
     async def save_sample(self, spec, sample, floor, zone):
-        """Keep a sample of an incomplete group on another host.
+        """Store a sample of an incomplete group on other hosts.
 
         :param spec: the step's specification.
         :param sample: the sample.
-        :param floor: the oldest weight version that the trainer still takes.
+        :param floor: the oldest weight version that the trainer still accepts.
         :param zone: the account's zone.
-        :return: the sample that the other host keeps for the slot, which is another
-            holder's when that came first; None when no host answers.
+        :return: the sample that the slot gets, which is another holder's when that
+            was stored first; None when no host replies.
         """
         message = StoreSamples(
             spec.account, spec.step, spec_digest(spec), floor, (sample,)
@@ -142,8 +143,8 @@
         earlier = self._replicas.claim(spec, sample, floor)
         if earlier is not None:
             return earlier
-        # Every host that may hold the step is asked, for each of them may have made
-        # a sample of its own, such as one that was frozen and woke.
+        # The sample is sent to every host that may hold the step, because each may have
+        # generated its own, such as a host that resumed after a process pause.
         replica_hosts = self._replica_hosts(spec.account, spec.step, zone)
         unresponsive = [h for h in replica_hosts if self._is_unresponsive(h)]
         targets = [h for h in replica_hosts if h not in unresponsive] or unresponsive
@@ -163,10 +164,10 @@
         return stored if is_stored else None
 
     async def load(self, account, step, zone):
-        """Find a step and what was made of it.
+        """Load a step with its recorded groups and replicas.
 
         :return: the :class:`LoadedStep`.
-        :raises ServiceError: the platform's errors, when no host keeps the step.
+        :raises ServiceError: the platform's errors, when no host has a replica.
         """
         replica = await self.fetch_replicas(
             account, step, zone, self._dead_candidates(account, step, zone)
@@ -175,7 +176,7 @@
         try:
             spec = await self.records.load_spec(account, step)
             if spec is None and replica.spec is not None:
-                # Whoever was to write it may be dead.
+                # The host that was to write it may have failed.
                 spec = replica.spec
                 self._enqueue_write(spec)
             groups = []
@@ -199,9 +200,9 @@
         return LoadedStep(spec, groups, replica, holder_version)
 
     async def fetch_replicas(self, account, step, zone, extra_hosts=()):
-        """Return what this and the likely other hosts keep of a step.
+        """Return the merged replicas of this host and of a step's candidate hosts.
 
-        :param extra_hosts: further hosts to ask.
+        :param extra_hosts: further hosts to query.
         :return: a :class:`KeptStep` with one sample for each slot.
         """
         replica_hosts = self._replica_hosts(account, step, zone)
@@ -231,10 +232,10 @@
         )
 
     async def hand_over(self, spec, partials, zone):
-        """Have other hosts keep what the streams of a step had come to.
+        """Store the partial outputs of a step's streams on other hosts.
 
         :param spec: the step's specification.
-        :param partials: the :class:`Partial` texts.
+        :param partials: the :class:`Partial` outputs.
         :param zone: the account's zone.
         """
         message = HandOverStep(spec, tuple(partials))
@@ -244,7 +245,7 @@
         )
 
     async def forget(self, account, step, zone):
-        """Drop what hosts keep of a step that is done."""
+        """Drop the replicas of a step that needs no more work."""
         message = ForgetStep(account, step)
         self._replicas.forget(message)
         self._pending_spec_by_key.pop((account, step), None)
@@ -254,7 +255,7 @@
         )
 
     async def run(self):
-        """Write to the platform what it missed while it was out."""
+        """Write pending specifications to the platform until cancelled."""
         backoff = util.Backoff(BACKOFF_MIN_MS, BACKOFF_MAX_MS)
         while True:
             await self._has_pending_specs.wait()
@@ -269,7 +270,12 @@
                 if e.kind in _UNAVAILABLE_KINDS:
                     await self._clock.sleep_ms(backoff.next_ms())
                     continue
-                log.warning("Step %s of %s lost its record: %s", key[1], key[0], e)
+                log.warning(
+                    "Step %s of %s could not be recorded and is not retried: %s",
+                    key[1],
+                    key[0],
+                    e,
+                )
             self._pending_spec_by_key.pop(key, None)
 
     def _enqueue_write(self, spec):
@@ -281,15 +287,15 @@
     def _replica_hosts(self, account, step, zone):
         hosts = self.candidate_hosts(account, step, zone)
         replica_hosts = [h for h in hosts if h != self._host_id][:REPLICA_CANDIDATES]
-        # A host that did not answer is asked last for a while, so that not every
-        # sample waits for it until the fleet takes it for dead.
+        # A host that did not reply is queried last for UNRESPONSIVE_MS, so that not
+        # every sample waits for it until membership declares it dead.
         return sorted(replica_hosts, key=self._is_unresponsive)
 
     def _dead_candidates(self, account, step, zone):
-        """Return the hosts that may hold a step though they count as dead here.
+        """Return the hosts that may hold a step although this host considers them dead.
 
-        A zone that was cut off goes on with its own steps, and is reached again
-        before the news of its hosts has come.
+        A partitioned zone continues its own steps, and becomes reachable again before
+        the membership update about its hosts arrives.
         """
         local_hosts = [h.id for h in self._membership.all() if zone and h.zone == zone]
         local_hosts = util.rendezvous_order(_duty(account, step), local_hosts)[
@@ -312,7 +318,7 @@
         try:
             return await self._links.call(host_id, message, timeout_ms)
         except ServiceError as e:
-            log.info("Host %s did not answer about a step: %s", host_id, e)
+            log.info("Host %s did not reply to a message about a step: %s", host_id, e)
             self._unresponsive_until_by_host[host_id] = (
                 self._clock.now_ms() + UNRESPONSIVE_MS
             )
@@ -328,13 +334,14 @@
 
 
 def _winner(own, answers):
-    """Return the sample that a slot goes to, by what other hosts keep, or None.
+    """Return the sample that a slot gets, by the other hosts' replies, or None.
 
-    Two holders that ask each other at once come to the same one.
+    Two holders that send each other their samples at the same time choose the same
+    sample.
 
-    :param own: the sample made here.
+    :param own: the sample generated by this host.
     :param answers: the :class:`StoredSamples`, in the order in which all hosts rank
-        those that gave them.
+        the hosts that sent them.
     """
     settled = [answer.samples[0] for answer in answers if answer.settled]
     if settled:
--- a/goldcrestmoor/version/steps/step_sweeper.py
+++ b/goldcrestmoor/version/steps/step_sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes the records of steps that nobody acknowledged."""
+"""Periodic deletion of the records of steps that no trainer completed."""
 
 import logging
 
@@ -12,9 +12,10 @@
 
 
 class StepSweeper:
-    """Delete expired records, on the one live host that a hash of the fleet picks.
+    """Delete expired records, on the one live host chosen by rendezvous hashing.
 
-    Two hosts that both think so do no harm: each deletes rows by their version.
+    Two hosts that both consider themselves chosen do no harm: each deletes rows by
+    their version.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param records: the :class:`~goldcrestmoor.version.steps.step_records.StepRecords`.
@@ -31,7 +32,7 @@
         self._host_id = host_id
 
     async def run(self):
-        """Sweep from time to time, until cancelled."""
+        """Delete expired records every ``CLEANUP_INTERVAL_MS``, until cancelled."""
         while True:
             await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             if self._ownership.preferred_hosts(DUTY, 1) != [self._host_id]:
@@ -40,4 +41,7 @@
                 deleted = await self._records.delete_expired(MAX_ROWS_PER_RUN)
                 log.info("Deleted %d expired records of steps.", deleted)
             except ServiceError as e:
-                log.info("Expired steps were left for the next round: %s", e)
+                log.info(
+                    "Expired steps not deleted; trying again in the next round: %s",
+                    e,
+                )
--- a/goldcrestmoor/version/steps/steps.py
+++ b/goldcrestmoor/version/steps/steps.py
@@ -1,4 +1,4 @@
-"""What a step is made of: its groups, slots and samples."""
+"""The parts of a step: its groups, slots and samples."""
 
 import hashlib
 import re
@@ -16,7 +16,7 @@
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One place for a sample.
+    """The position of one sample in a step.
 
     :param group: the group's index.
     :param index: the sample's index in the group.
@@ -27,13 +27,13 @@
 
 
 class GroupSpec(msgspec.Struct, frozen=True):
-    """Samples of one prompt.
+    """The specification of one group: the samples of one prompt.
 
     :param index: the group's index, unique in the step.
     :param prompt: the prompt that all of its samples share.
-    :param samples: how many samples are wanted.
-    :param max_tokens: the bound on each sample's length, in tokens.
-    :param seed: the seed of the first sample; the others count up from it.
+    :param samples: the number of samples to generate.
+    :param max_tokens: the maximum length of each sample, in tokens.
+    :param seed: the seed of the first sample; each further sample adds one.
     """
 
     index: int
@@ -48,8 +48,8 @@
 
     :param account: the trainer's account.
     :param step: the step's name, unique for the account.
-    :param pool: the pool whose engines make the samples.
-    :param base_version: the trainer's weight version when it submitted.
+    :param pool: the pool whose engines generate the samples.
+    :param base_version: the trainer's weight version at submission.
     :param groups: the groups of samples.
     :param deadline_ms: how long a holder works on the step, in milliseconds.
     """
@@ -69,12 +69,12 @@
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What was made for one slot.
+    """The generated output for one slot.
 
     :param slot: the slot that it fills.
     :param segments: its text by weight version, in order.
     :param finish_reason: ``stop`` or ``length``.
-    :param digest: tells two samples of one slot apart.
+    :param digest: distinguishes two samples of one slot.
     """
 
     slot: Slot
@@ -84,9 +84,9 @@
 
 
 class HeldSlots(msgspec.Struct, frozen=True):
-    """The slots that a trainer says it has.
+    """The slots whose samples a trainer reports to have.
 
-    :param groups: groups of which it has every slot.
+    :param groups: groups of which it has every sample.
     :param slots: further single slots.
     """
 
@@ -102,7 +102,7 @@
 
     :param slot: the slot that it fills.
     :param segments: its segments, in order.
-    :param finish_reason: why it ended.
+    :param finish_reason: why generation ended.
     """
     segments = tuple(segments)
     data = msgspec.json.encode((slot, segments, finish_reason))
@@ -111,7 +111,7 @@
 
 
 def oldest_version(sample):
-    """Return the oldest weight version that made any of a sample's tokens.
+    """Return the oldest weight version that generated any of a sample's tokens.
 
     :param sample: a :class:`Sample`.
     """
@@ -119,7 +119,7 @@
 
 
 def spec_digest(spec):
-    """Return what tells a step's specification from any other.
+    """Return the SHA-256 digest of a step's specification, in hexadecimal.
 
     :param spec: a :class:`StepSpec`.
     """
@@ -127,7 +127,7 @@
 
 
 def validate_step_name(step):
-    """Refuse a step's name that could reach another step's records.
+    """Reject a step name that could address another step's records.
 
     :param step: the name.
     :raises ServiceError: ``BAD_REQUEST``.
@@ -137,7 +137,7 @@
 
 
 def validate_spec(spec):
-    """Refuse a specification that no holder could work on.
+    """Reject an invalid specification.
 
     :param spec: a :class:`StepSpec`.
     :raises ServiceError: ``BAD_REQUEST``.
--- a/goldcrestmoor/version/steps/stragglers.py
+++ b/goldcrestmoor/version/steps/stragglers.py
@@ -1,4 +1,4 @@
-"""Which slots to start first, and when a second copy of a slot pays."""
+"""The start order of slots, and the decision when to hedge a stream."""
 
 import statistics
 
@@ -15,14 +15,14 @@
 
 
 class IndexOrder(msgspec.Struct, frozen=True):
-    """Start the slots in the order of their numbers."""
+    """Start the slots in the order of their indexes."""
 
 
 LONGEST_FIRST = LongestFirst()
 
 
 class NoHedge(msgspec.Struct, frozen=True):
-    """Leave the stream alone.
+    """Do not hedge the stream.
 
     :param reason: why, as a short sentence.
     """
@@ -31,7 +31,7 @@
 
 
 class HedgeFromStart(msgspec.Struct, frozen=True):
-    """Start the slot over on another engine, beside the first stream.
+    """Start the slot again on another engine, in parallel to the first stream.
 
     :param gain_ms: the time that this is expected to save, in milliseconds.
     """
@@ -40,7 +40,7 @@
 
 
 class HedgeFromTokens(msgspec.Struct, frozen=True):
-    """Go on from the tokens received on another engine, beside the first stream.
+    """Resume the received tokens on another engine, in parallel to the first stream.
 
     :param gain_ms: the time that this is expected to save, in milliseconds.
     """
@@ -49,11 +49,11 @@
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """How far a stream is.
+    """The progress of a stream.
 
-    :param tokens: the tokens received.
-    :param elapsed_ms: the time since it was started, in milliseconds.
-    :param max_tokens: the most tokens that it may have.
+    :param tokens: the number of tokens received.
+    :param elapsed_ms: the time since its start, in milliseconds.
+    :param max_tokens: its maximum number of tokens.
     """
 
     tokens: int
@@ -62,7 +62,7 @@
 
 
 class LengthEstimator:
-    """Lengths and rates seen in one step, and what they let one expect."""
+    """Estimate the lengths and times of a step's streams from its finished ones."""
 
     __slots__ = ("_lengths_by_group", "_rates")
 
@@ -71,11 +71,11 @@
         self._rates = []
 
     def add(self, group, tokens, elapsed_ms):
-        """Take in a finished stream.
+        """Add a finished stream to the estimate.
 
         :param group: the group's index.
-        :param tokens: its length, in tokens.
-        :param elapsed_ms: how long it took, in milliseconds.
+        :param tokens: the stream's length, in tokens.
+        :param elapsed_ms: the stream's duration, in milliseconds.
         """
         self._lengths_by_group.setdefault(group, []).append(tokens)
         self._rates.append(tokens / max(1, elapsed_ms))
@@ -83,10 +83,11 @@
     def expected_length(self, group, max_tokens):
         """Return the expected length of a sample in tokens.
 
-        The group's own prompt says most; then the other groups; then the bound.
+        The estimate uses the lengths of the same group, which has the same prompt,
+        else those of the other groups, else a fraction of the maximum.
 
         :param group: the group's index.
-        :param max_tokens: the bound on its length, in tokens.
+        :param max_tokens: the maximum length, in tokens.
         """
         group_lengths = self._lengths_by_group.get(group)
         if group_lengths:
@@ -97,14 +98,14 @@
         return max_tokens * DEFAULT_LENGTH_FRACTION
 
     def expected_remaining(self, group, tokens, max_tokens):
-        """Return the tokens that a stream is expected to lack.
+        """Return the number of tokens that a stream is expected to have left.
 
-        Only the lengths beyond the stream's own say something about it; a stream
-        that has passed all of them may go on to its bound.
+        Only lengths greater than the stream's own are relevant; a stream that has
+        exceeded all of them may continue to its maximum.
 
         :param group: the group's index.
-        :param tokens: the tokens received.
-        :param max_tokens: the bound on its length, in tokens.
+        :param tokens: the number of tokens received.
+        :param max_tokens: the maximum length, in tokens.
         """
         longer = [n for n in self._lengths_by_group.get(group, ()) if n > tokens]
         if longer:
@@ -115,7 +116,7 @@
         return (max_tokens - tokens) * DEFAULT_LENGTH_FRACTION
 
     def time_to_finish_ms(self, progress, group):
-        """Return how long a stream is expected to take still, or None.
+        """Return the expected remaining time of a stream in milliseconds, or None.
 
         :param progress: the stream's :class:`Progress`.
         :param group: its group's index.
@@ -127,16 +128,16 @@
         return missing / rate
 
     def median_rate(self):
-        """Return the median rate in tokens a millisecond, or None."""
+        """Return the median rate in tokens per millisecond, or None."""
         return statistics.median(self._rates) if self._rates else None
 
 
 def start_order(slots, lengths, max_tokens_by_group, order=LONGEST_FIRST):
-    """Return slots in the order in which they are to start.
+    """Return slots in the order in which to start them.
 
     :param slots: the slots to start.
     :param lengths: the step's :class:`LengthEstimator`.
-    :param max_tokens_by_group: the bounds, in tokens.
+    :param max_tokens_by_group: the maximum length of a sample by group, in tokens.
     :param order: :class:`LongestFirst` or :class:`IndexOrder`.
     """
     if isinstance(order, IndexOrder):
@@ -149,38 +150,38 @@
 
 
 def decide_hedge(progress, group, lengths, idle_slots, hedges_left):
-    """Decide whether a stream gets a second copy.
+    """Decide whether to hedge a stream.
 
     :param progress: the stream's :class:`Progress`.
     :param group: its group's index.
     :param lengths: the step's :class:`LengthEstimator`.
-    :param idle_slots: engine slots that no stream of the step needs.
-    :param hedges_left: the copies that the budget still allows.
+    :param idle_slots: the number of engine slots that no stream of the step uses.
+    :param hedges_left: the number of hedges that the budget still allows.
     :return: :class:`NoHedge`, :class:`HedgeFromStart` or :class:`HedgeFromTokens`.
     """
     if idle_slots <= 0:
         return NoHedge("No engine slot is idle.")
     if hedges_left <= 0:
-        return NoHedge("The budget of second copies is used up.")
+        return NoHedge("The hedge budget is used up.")
     rate = lengths.median_rate()
     if rate is None:
         return NoHedge("No stream has finished yet.")
     if progress.elapsed_ms < MIN_OBSERVED_MS:
-        # The rate of a stream's first tokens says little about the rest.
-        return NoHedge("The stream is too young to be judged.")
+        # The rate of a stream's first tokens does not predict its later rate well.
+        return NoHedge("The stream started too recently for an estimate.")
     missing = lengths.expected_remaining(group, progress.tokens, progress.max_tokens)
     hedge_ms = HEDGE_START_MS + missing / rate
     own_rate = progress.tokens / max(1, progress.elapsed_ms)
     if progress.tokens == 0:
-        # Nothing is known but that the first token takes longer than it should:
-        # a stream is expected to stay silent as long as it has been already.
+        # Without a first token there is no rate to estimate from: the stream is
+        # expected to wait for it as long again as it has waited already.
         gain_ms = int(progress.elapsed_ms - HEDGE_START_MS)
         return (
             HedgeFromStart(gain_ms)
             if gain_ms >= MIN_GAIN_MS
-            else NoHedge("It may start soon.")
+            else NoHedge("The first token may arrive soon.")
         )
     gain_ms = int(missing / own_rate - hedge_ms)
     if gain_ms < MIN_GAIN_MS:
-        return NoHedge("A second copy would not be sooner.")
+        return NoHedge("A hedge would not finish sooner.")
     return HedgeFromTokens(gain_ms)
