--- a/test/_step_fakes.py
+++ b/test/_step_fakes.py
@@ -31,35 +31,35 @@
     def __init__(self):
         self.row_by_key = {}
         self.object_by_key = {}
-        self.out = False
-        self.answers_to_lose = 0
+        self.is_unavailable = False
+        self.replies_to_lose = 0
         self.writes = 0
 
-    def _check_up(self):
-        if self.out:
+    def _check_available(self):
+        if self.is_unavailable:
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE)
 
     async def put(self, key, data):
-        self._check_up()
+        self._check_available()
         self.object_by_key[key] = data
 
     async def delete(self, key):
-        self._check_up()
+        self._check_available()
         self.object_by_key.pop(key, None)
 
     async def get(self, *key):
-        self._check_up()
+        self._check_available()
         if len(key) == 1:
             return self.object_by_key.get(key[0])
         return self.row_by_key.get(key)
 
     async def scan(self, table, prefix):
-        self._check_up()
+        self._check_available()
         found = self.row_by_key.items()
         return [r for (t, k), r in found if t == table and k.startswith(prefix)]
 
     async def transact(self, checks, writes):
-        self._check_up()
+        self._check_available()
         for check in checks:
             row = self.row_by_key.get((check.table, check.key))
             if (row.version if row else 0) != check.version:
@@ -73,8 +73,8 @@
                 version = (row.version if row else 0) + 1
                 self.row_by_key[key] = Row(write.key, version, write.value)
                 version_by_key["/".join(key)] = version
-        if self.answers_to_lose:
-            self.answers_to_lose -= 1
+        if self.replies_to_lose:
+            self.replies_to_lose -= 1
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN)
         return Committed(version_by_key)
 
@@ -139,7 +139,7 @@
         self.clock = Clock()
         self.links_by_id = {}
         self.down = set()
-        self.holder_of = {}
+        self.holder_by_host = {}
         self.set_account(bound, **delivery)
         self.slots = slots
         self.published = 0
@@ -224,15 +224,17 @@
 
     def holder_of_step(self, account, step):
         # Hosts that see different members disagree about the holder.
-        chosen = self._fleet.holder_of.get(self.host_id)
-        if chosen:
-            return chosen
+        holder_id = self._fleet.holder_by_host.get(self.host_id)
+        if holder_id:
+            return holder_id
         live = [host.id for host in self._fleet.live()]
         return util.rendezvous(f"step/{account.name}/{step}", live)
 
-    async def pull(self, step, held=(), version=1, wait_ms=10000, most=128, groups=()):
+    async def pull(
+        self, step, held=(), version=1, wait_ms=10000, max_samples=128, groups=()
+    ):
         message = PullSamples(
-            ACCOUNT, step, tuple(groups), tuple(held), version, wait_ms, most
+            ACCOUNT, step, tuple(groups), tuple(held), version, wait_ms, max_samples
         )
         return await self.front.pull(message)
 
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -21,7 +21,7 @@
 from test._step_fakes import ACCOUNT, ZONE, FakeFleet, make_spec
 
 
-def stream(*chunks, gate=None, reached=None):
+def scripted_stream(*chunks, gate=None, reached=None):
     """Return a script of an engine that waits for a gate before its last piece."""
 
     async def run(call):
@@ -48,7 +48,7 @@
 
 
 class DeliveryTest(StepTestCase):
-    async def test_every_slot_comes_once_through_any_host(self):
+    async def test_each_slot_is_delivered_once_through_any_host(self):
         fleet = self.make_fleet("a", "b", "c")
         await fleet.host_by_id["a"].front.submit(make_spec())
         got, answered = await fleet.host_by_id["b"].collect("s1")
@@ -57,7 +57,7 @@
         again = await fleet.host_by_id["c"].pull("s1", got)
         self.assertEqual((again.samples, again.complete), ((), True))
 
-    async def test_a_late_pull_is_answered_from_the_same_samples(self):
+    async def test_a_repeated_pull_returns_the_same_samples(self):
         fleet = self.make_fleet("a", "b")
         await fleet.host_by_id["a"].front.submit(make_spec())
         first, _ = await fleet.host_by_id["a"].collect("s1")
@@ -68,7 +68,7 @@
         _, answered = await fleet.host_by_id["b"].collect("s1", held=part)
         self.assertEqual({s.slot for s in answered}, set(first) - set(part))
 
-    async def test_a_whole_group_may_be_named_by_its_index(self):
+    async def test_a_complete_group_may_be_given_by_its_index(self):
         fleet = self.make_fleet("a")
         await fleet.host_by_id["a"].front.submit(make_spec())
         await fleet.host_by_id["a"].collect("s1")
@@ -83,7 +83,7 @@
         for host in fleet.host_by_id.values():
             await self.assert_refused(ErrorKind.STEP_CONFLICT, host.front.submit(other))
 
-    async def test_operators_are_shown_the_steps(self):
+    async def test_show_steps_lists_the_held_steps(self):
         fleet = self.make_fleet("a")
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec())
@@ -93,19 +93,19 @@
         shown = dict(zip(columns, rows[0], strict=True))
         self.assertEqual((shown["slots"], shown["made"], shown["held"]), (6, 6, 2))
 
-    async def test_an_unknown_step_says_so(self):
+    async def test_a_pull_of_an_unknown_step_is_rejected(self):
         fleet = self.make_fleet("a", "b")
         pull = fleet.host_by_id["a"].pull("nothing")
         await self.assert_refused(ErrorKind.STEP_UNKNOWN, pull)
 
-    async def test_a_cancelled_step_is_forgotten(self):
+    async def test_a_cancelled_step_is_deleted(self):
         fleet = self.make_fleet("a", "b")
         await fleet.host_by_id["a"].front.submit(make_spec())
         await fleet.host_by_id["b"].front.cancel(ACCOUNT, "s1")
         pull = fleet.host_by_id["a"].pull("s1")
         await self.assert_refused(ErrorKind.STEP_UNKNOWN, pull)
 
-    async def test_names_cannot_reach_other_records(self):
+    async def test_step_names_cannot_address_other_records(self):
         for name in ("", "../x", "a/b", "x" * 65):
             with self.assertRaises(ServiceError):
                 validate_spec(make_spec(step=name))
@@ -123,7 +123,7 @@
         self.state.confirm(sample, sample)
         return taken
 
-    async def test_a_slot_takes_one_sample(self):
+    async def test_a_slot_accepts_one_sample(self):
         self.assertTrue(self.put(1))
         self.assertFalse(self.put(2))
         samples, _ = self.state.answer(HeldSlots(), 1, 10)
@@ -143,12 +143,12 @@
             samples, is_complete = self.state.answer(HeldSlots(), 1, 10)
         self.assertEqual((len(samples), is_complete), (1, False))
 
-    async def test_nothing_is_answered_before_it_is_recorded(self):
+    async def test_a_sample_is_not_delivered_before_it_is_stored(self):
         sample = make_sample(self.slot, [Segment(1, "x", 1)], "stop")
         self.state.put(sample)
         self.assertEqual(self.state.answer(HeldSlots(), 1, 10), ((), False))
 
-    async def test_stale_samples_are_to_be_made_again(self):
+    async def test_stale_samples_are_generated_again(self):
         self.put(1, 4)
         self.state.record_pull(HeldSlots(), 4, 0)
         self.assertEqual(self.state.drop_stale(2), [self.slot])
@@ -165,27 +165,27 @@
         # The step's row, one for its holder and one for each group.
         self.assertEqual(fleet.platform.writes, 5)
 
-    async def test_of_two_holders_the_first_recorded_wins(self):
+    async def test_of_two_holders_the_first_to_record_wins(self):
         fleet = self.make_fleet("a", "b")
         # The two hosts cannot hear each other, so each becomes a holder.
-        fleet.holder_of = {"a": "a", "b": "b"}
+        fleet.holder_by_host = {"a": "a", "b": "b"}
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         gate = asyncio.Event()
         fleet.engines.script_by_seed[0] = [
-            stream(TokenChunk("first", 1, 1, "e", "stop")),
-            stream(TokenChunk("second", 1, 1, "e", "stop"), gate=gate),
+            scripted_stream(TokenChunk("first", 1, 1, "e", "stop")),
+            scripted_stream(TokenChunk("second", 1, 1, "e", "stop"), gate=gate),
         ]
         spec = make_spec(groups=1, samples=1)
         await a.front.submit(spec)
-        pulled = asyncio.create_task(b.pull("s1"))
+        pull_task = asyncio.create_task(b.pull("s1"))
         await _common.eventually(lambda: fleet.engines.calls)
         got, _ = await a.collect("s1")
         gate.set()
-        late = await pulled
+        late = await pull_task
         self.assertEqual(got[Slot(0, 0)], late.samples[0])
         self.assertEqual(late.samples[0].segments[0].text, "first")
 
-    async def test_a_loser_of_the_record_adopts_the_winners_samples(self):
+    async def test_the_second_writer_of_a_record_gets_the_first_ones_samples(self):
         fleet = self.make_fleet("a")
         records = fleet.host_by_id["a"].store.records
         spec = make_spec(groups=1, samples=1)
@@ -198,23 +198,23 @@
         self.assertFalse(second.own)
         self.assertEqual(second.samples, (own,))
 
-    async def test_a_lost_answer_is_settled_by_the_rows_token(self):
+    async def test_a_lost_reply_is_resolved_by_the_rows_token(self):
         fleet = self.make_fleet("a")
         records = fleet.host_by_id["a"].store.records
         spec = make_spec(groups=1, samples=1)
         sample = make_sample(Slot(0, 0), [Segment(1, "own", 1)], "stop")
-        fleet.platform.answers_to_lose = 1
+        fleet.platform.replies_to_lose = 1
         record = await records.save_group(spec, 0, 0, [sample])
         self.assertTrue(record.own)
-        fleet.platform.answers_to_lose = 1
+        fleet.platform.replies_to_lose = 1
         await records.save_spec(spec)
         self.assertEqual(await records.load_spec(ACCOUNT, "s1"), spec)
 
-    async def test_lost_answers_are_settled(self):
+    async def test_steps_survive_lost_replies(self):
         fleet = self.make_fleet("a", "b")
-        fleet.platform.answers_to_lose = 1
+        fleet.platform.replies_to_lose = 1
         await fleet.host_by_id["a"].front.submit(make_spec(groups=1))
-        fleet.platform.answers_to_lose = 1
+        fleet.platform.replies_to_lose = 1
         got, _ = await fleet.host_by_id["a"].collect("s1")
         await _common.eventually(
             lambda: any(t == "groups" for t, _ in fleet.platform.row_by_key)
@@ -224,25 +224,25 @@
 
     async def test_the_platform_is_out_for_the_whole_step(self):
         fleet = self.make_fleet("a", "b", "c")
-        fleet.platform.out = True
+        fleet.platform.is_unavailable = True
         await fleet.host_by_id["a"].front.submit(make_spec())
         got, answered = await fleet.host_by_id["b"].collect("s1")
         self.assertEqual((len(got), len(answered)), (6, 6))
 
-    async def test_nothing_is_accepted_that_only_one_host_has(self):
+    async def test_a_step_that_only_one_host_could_store_is_rejected(self):
         fleet = self.make_fleet("a")
-        fleet.platform.out = True
+        fleet.platform.is_unavailable = True
         submit = fleet.host_by_id["a"].front.submit(make_spec())
         await self.assert_refused(ErrorKind.PLATFORM_UNAVAILABLE, submit)
 
-    async def test_results_reach_the_platform_when_it_is_back(self):
+    async def test_samples_are_recorded_once_the_platform_is_available_again(self):
         fleet = self.make_fleet("a", "b")
-        fleet.platform.out = True
+        fleet.platform.is_unavailable = True
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1))
         answer = await a.pull("s1")
         self.assertTrue(answer.samples)
-        fleet.platform.out = False
+        fleet.platform.is_unavailable = False
         await _common.eventually(
             lambda: (
                 {t for t, _ in fleet.platform.row_by_key}
@@ -250,10 +250,10 @@
             )
         )
 
-    async def test_a_silent_replica_is_not_asked_for_every_sample(self):
+    async def test_an_unresponsive_replica_does_not_delay_every_sample(self):
         fleet = self.make_fleet("a", "b", "c")
         a = fleet.host_by_id["a"]
-        fleet.holder_of = {"a": "a"}
+        fleet.holder_by_host = {"a": "a"}
         first = a.store._replica_hosts(ACCOUNT, "s1", ZONE)[0]
         # The fleet still takes the host for alive, but it does not answer.
         fleet.links_by_id.pop(first)
@@ -262,21 +262,21 @@
         self.assertEqual(len(got), 16)
         self.assertNotEqual(a.store._replica_hosts(ACCOUNT, "s1", ZONE)[0], first)
 
-    async def test_a_holder_dies_with_the_platform_out(self):
+    async def test_a_holder_fails_while_the_platform_is_unavailable(self):
         fleet = self.make_fleet("a", "b")
-        fleet.platform.out = True
+        fleet.platform.is_unavailable = True
         gate = asyncio.Event()
-        wait = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
+        wait = scripted_stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[2] = [wait]
-        fleet.holder_of = {"a": "a", "b": "a"}
+        fleet.holder_by_host = {"a": "a", "b": "a"}
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1))
         handlers = b.links.handler_by_class
         await _common.eventually(lambda: handlers and len(_replica_samples(b)) == 2)
         fleet.down.add("a")
         await a.close()
-        made_before = {c["seed"] for c in fleet.engines.calls}
-        self.assertEqual(made_before, {0, 1, 2})
+        requested_seeds = {c["seed"] for c in fleet.engines.calls}
+        self.assertEqual(requested_seeds, {0, 1, 2})
         got, _ = await b.collect("s1")
         self.assertEqual(len(got), 3)
         seeds = [c["seed"] for c in fleet.engines.calls]
@@ -288,28 +288,28 @@
 
 
 class HandoverTest(StepTestCase):
-    async def test_a_host_that_is_not_the_holder_any_more_stops(self):
+    async def test_a_host_that_is_no_longer_the_holder_stops(self):
         fleet = self.make_fleet("a", "b")
-        fleet.holder_of = {"a": "a", "b": "a"}
+        fleet.holder_by_host = {"a": "a", "b": "a"}
         gate = asyncio.Event()
-        waiting = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
+        waiting = scripted_stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[0] = [waiting]
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         with mock.patch.object(step_holder, "RECENT_PULL_MS", 1):
             await a.front.submit(make_spec(groups=1, samples=1))
             await _common.eventually(lambda: fleet.engines.calls)
-            fleet.holder_of = {"a": "b", "b": "b"}
+            fleet.holder_by_host = {"a": "b", "b": "b"}
             await _common.eventually(lambda: not a.holder.steps())
             await _common.eventually(lambda: fleet.engines.closed == 1)
             got, _ = await b.collect("s1")
         self.assertEqual(len(got), 1)
 
-    async def test_a_leaving_host_hands_over_what_it_made(self):
+    async def test_a_leaving_host_hands_over_its_samples(self):
         fleet = self.make_fleet("a", "b")
-        fleet.platform.out = True
-        fleet.holder_of = {"a": "a", "b": "a"}
+        fleet.platform.is_unavailable = True
+        fleet.holder_by_host = {"a": "a", "b": "a"}
         gate = asyncio.Event()
-        waiting = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
+        waiting = scripted_stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[2] = [waiting]
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1))
@@ -336,12 +336,12 @@
             await a.holder.hand_over()
             await self.assert_refused(ErrorKind.DRAINING, submit)
 
-    async def test_a_leaving_host_hands_over_unfinished_texts(self):
+    async def test_a_leaving_host_hands_over_partial_outputs(self):
         fleet = self.make_fleet("a", "b")
-        fleet.holder_of = {"a": "a", "b": "a"}
+        fleet.holder_by_host = {"a": "a", "b": "a"}
         gate, reached = asyncio.Event(), asyncio.Event()
         chunks = TokenChunk("half", 2, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
-        script = [stream(*chunks, gate=gate, reached=reached)]
+        script = [scripted_stream(*chunks, gate=gate, reached=reached)]
         fleet.engines.script_by_seed[0] = script
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -353,7 +353,7 @@
 
 
 class DeletionTest(StepTestCase):
-    async def test_expired_records_are_swept_and_others_stay(self):
+    async def test_expired_records_are_deleted_and_others_stay(self):
         fleet = self.make_fleet("a", "b")
         a = fleet.host_by_id["a"]
         # One step is long past its deadline, and its trainer never came back.
@@ -370,7 +370,7 @@
         self.assertEqual(left, {"new"})
         self.assertEqual(len(fleet.platform.object_by_key), 2)
 
-    async def test_the_loser_of_a_record_leaves_no_object(self):
+    async def test_the_second_writer_of_a_record_leaves_no_object(self):
         fleet = self.make_fleet("a")
         records = fleet.host_by_id["a"].store.records
         spec = make_spec(groups=1, samples=1)
@@ -396,7 +396,7 @@
 
 
 class StalenessTest(StepTestCase):
-    async def test_a_sample_goes_stale_in_a_row(self):
+    async def test_a_recorded_sample_becomes_stale(self):
         fleet = self.make_fleet("a", "b")
         await fleet.host_by_id["a"].front.submit(make_spec())
         await fleet.host_by_id["a"].collect("s1")
@@ -404,7 +404,7 @@
         got, _ = await fleet.host_by_id["b"].collect("s1", version=3)
         self.assertEqual({oldest_version(s) for s in got.values()}, {3})
 
-    async def test_the_remade_round_is_found_by_another_holder(self):
+    async def test_the_second_round_is_loaded_by_another_holder(self):
         fleet = self.make_fleet("a", "b")
         spec = make_spec(groups=1)
         await fleet.host_by_id["a"].front.submit(spec)
@@ -418,11 +418,13 @@
         self.assertEqual([record.round for record in records], [0, 1])
         self.assertEqual({s.slot: s for s in records[1].samples}, got)
 
-    async def test_a_sample_goes_stale_in_flight(self):
+    async def test_a_sample_becomes_stale_in_flight(self):
         fleet = self.make_fleet("a", "b")
         gate, reached = asyncio.Event(), asyncio.Event()
         old = TokenChunk("old", 1, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
-        fleet.engines.script_by_seed[0] = [stream(*old, gate=gate, reached=reached)]
+        fleet.engines.script_by_seed[0] = [
+            scripted_stream(*old, gate=gate, reached=reached)
+        ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         await reached.wait()
@@ -433,11 +435,11 @@
         self.assertEqual(fleet.engines.calls[1]["min_version"], 2)
         self.assertEqual(fleet.engines.closed, 2)
 
-    async def test_the_version_moves_between_check_and_answer(self):
+    async def test_the_version_changes_while_a_pull_waits(self):
         fleet = self.make_fleet("a")
         a = fleet.host_by_id["a"]
         gate = asyncio.Event()
-        script = stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
+        script = scripted_stream(TokenChunk("x", 1, 1, "e", "stop"), gate=gate)
         fleet.engines.script_by_seed[0] = [script]
         await a.front.submit(make_spec(groups=1, samples=1))
         waiting = asyncio.create_task(a.pull("s1", version=1))
@@ -451,30 +453,32 @@
     async def test_the_oldest_segment_counts(self):
         fleet = self.make_fleet("a")
         chunks = TokenChunk("a", 1, 1, "e"), TokenChunk("b", 1, 4, "e", "stop")
-        fleet.engines.script_by_seed[0] = [stream(*chunks)]
+        fleet.engines.script_by_seed[0] = [scripted_stream(*chunks)]
         fleet.engines.version = 4
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1, base_version=1))
         got, _ = await a.collect("s1", version=4)
         self.assertEqual(oldest_version(got[Slot(0, 0)]), 4)
 
-    async def test_a_swap_in_mid_stream_lists_its_segments(self):
+    async def test_a_weight_swap_during_a_stream_gives_two_segments(self):
         fleet = self.make_fleet("a")
         chunks = [
             TokenChunk("a", 1, 1, "e"),
             TokenChunk("b", 2, 1, "e"),
             TokenChunk("c", 1, 2, "e", "stop"),
         ]
-        fleet.engines.script_by_seed[0] = [stream(*chunks)]
+        fleet.engines.script_by_seed[0] = [scripted_stream(*chunks)]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         got, _ = await a.collect("s1", version=2)
         expected = (Segment(1, "ab", 3), Segment(2, "c", 1))
         self.assertEqual(got[Slot(0, 0)].segments, expected)
 
-    async def test_a_stream_that_states_no_version_gives_no_sample(self):
+    async def test_a_stream_without_version_gives_no_sample(self):
         fleet = self.make_fleet("a", bound=9)
-        script = stream(TokenChunk("x", 1, 0, "e"), TokenChunk("y", 1, 1, "e", "stop"))
+        script = scripted_stream(
+            TokenChunk("x", 1, 0, "e"), TokenChunk("y", 1, 1, "e", "stop")
+        )
         fleet.engines.script_by_seed[0] = [script]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
@@ -488,7 +492,9 @@
         )
         gate, reached = asyncio.Event(), asyncio.Event()
         old = TokenChunk("old", 1, 1, "e"), TokenChunk("", 1, 1, "e", "stop")
-        fleet.engines.script_by_seed[0] = [stream(*old, gate=gate, reached=reached)]
+        fleet.engines.script_by_seed[0] = [
+            scripted_stream(*old, gate=gate, reached=reached)
+        ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         await reached.wait()
@@ -498,13 +504,13 @@
 
 
 class HedgeTest(StepTestCase):
-    async def test_copies_that_both_finish_give_one_sample(self):
+    async def test_two_finished_streams_of_a_slot_give_one_sample(self):
         fleet = self.make_fleet("a", "b")
         gate = asyncio.Event()
         slow = TokenChunk("slow", 1, 1, "e1"), TokenChunk(" end", 1, 1, "e1", "stop")
         fleet.engines.script_by_seed[2] = [
-            stream(*slow, gate=gate),
-            stream(TokenChunk(" fast", 5, 1, "e2", "stop"), gate=gate),
+            scripted_stream(*slow, gate=gate),
+            scripted_stream(TokenChunk(" fast", 5, 1, "e2", "stop"), gate=gate),
         ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1))
@@ -523,21 +529,24 @@
         again, _ = await fleet.host_by_id["b"].collect("s1")
         self.assertEqual(again, got)
 
-    async def test_failed_streams_are_made_again(self):
+    async def test_failed_streams_are_retried(self):
         fleet = self.make_fleet("a")
 
         async def fail(call):
             raise ServiceError(ErrorKind.NO_UPSTREAM, retry_after_ms=1)
             yield
 
-        fleet.engines.script_by_seed[0] = [fail, stream(TokenChunk("cut", 1, 1, "e"))]
+        fleet.engines.script_by_seed[0] = [
+            fail,
+            scripted_stream(TokenChunk("cut", 1, 1, "e")),
+        ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
         got, _ = await a.collect("s1")
         self.assertEqual(got[Slot(0, 0)].finish_reason, "stop")
         self.assertEqual(len(fleet.engines.calls), 3)
 
-    async def test_a_slot_is_tried_again_from_its_tokens(self):
+    async def test_a_retry_resumes_from_the_received_tokens(self):
         fleet = self.make_fleet("a")
 
         async def fail(call):
@@ -546,7 +555,7 @@
 
         fleet.engines.script_by_seed[0] = [
             fail,
-            stream(TokenChunk("whole", 1, 1, "e", "stop")),
+            scripted_stream(TokenChunk("whole", 1, 1, "e", "stop")),
         ]
         a = fleet.host_by_id["a"]
         await a.front.submit(make_spec(groups=1, samples=1))
