--- a/test/_step_fakes.py
+++ b/test/_step_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the steps' neighbours: the platform, peers, engines and a fleet."""
+"""Fakes for tests of the steps: the platform, peers, engines and a fleet."""
 
 import asyncio
 import collections
@@ -26,7 +26,7 @@
 
 
 class FakePlatform:
-    """A table service and an object store that can be out or lose answers."""
+    """A table service and an object store that can be unavailable or lose replies."""
 
     def __init__(self):
         self.row_by_key = {}
@@ -80,7 +80,7 @@
 
 
 class FakeEngines:
-    """Make streams by a script, else short ones at the current version."""
+    """Generate streams by a script, else short ones at the current version."""
 
     def __init__(self):
         self.version = 1
@@ -106,7 +106,7 @@
 
 
 class FakeLinks:
-    """Peers in one process; a pair of hosts may be cut."""
+    """Peer links in one process; calls from and to hosts that are down fail."""
 
     def __init__(self, host_id, network):
         self.host_id = host_id
@@ -131,7 +131,7 @@
 
 
 class FakeFleet:
-    """Several hosts with their holders, over one platform."""
+    """Several hosts with their step holders, which share one platform."""
 
     def __init__(self, *host_ids, bound=1, slots=16, **delivery):
         self.platform = FakePlatform()
@@ -223,7 +223,7 @@
         self._writer = asyncio.get_running_loop().create_task(self.store.run())
 
     def holder_of_step(self, account, step):
-        # Hosts that see different members disagree about the holder.
+        # Hosts with different membership views disagree about the holder.
         holder_id = self._fleet.holder_by_host.get(self.host_id)
         if holder_id:
             return holder_id
@@ -239,7 +239,7 @@
         return await self.front.pull(message)
 
     async def collect(self, step, version=1, held=()):
-        """Pull until whole and return the samples by slot, and all answers."""
+        """Pull until complete; return the samples by slot and every sample received."""
         sample_by_slot = dict.fromkeys(held)
         answered = []
         async with asyncio.timeout(_common.EVENT_TIMEOUT_S):
@@ -256,7 +256,7 @@
 
 
 def make_spec(step="s1", groups=2, samples=3, base_version=1, deadline_ms=600_000):
-    """Return a small step whose slots all have different seeds."""
+    """Return a small step whose slots have different seeds."""
     made = tuple(
         GroupSpec(i, f"prompt {i}", samples, 100, seed=100 * i) for i in range(groups)
     )
--- a/test/test_steps.py
+++ b/test/test_steps.py
@@ -1,4 +1,4 @@
-"""Every slot of a step reaches its trainer once, fresh, whatever fails."""
+"""Tests that trainers get each slot's sample once and fresh, despite failures."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
 
 
 def scripted_stream(*chunks, gate=None, reached=None):
-    """Return a script of an engine that waits for a gate before its last piece."""
+    """Return a script of an engine that waits for an event before its last chunk."""
 
     async def run(call):
         for number, chunk in enumerate(chunks):
@@ -61,7 +61,7 @@
         fleet = self.make_fleet("a", "b")
         await fleet.host_by_id["a"].front.submit(make_spec())
         first, _ = await fleet.host_by_id["a"].collect("s1")
-        # The trainer restarts with nothing, then with a part of it.
+        # The trainer restarts without any sample, then with some of them.
         second, _ = await fleet.host_by_id["b"].collect("s1")
         self.assertEqual(first, second)
         part = [Slot(0, 0), Slot(1, 2)]
@@ -162,12 +162,12 @@
         await fleet.host_by_id["a"].collect("s1")
         tables = fleet.platform.row_by_key
         await _common.eventually(lambda: sum(t == "groups" for t, _ in tables) == 3)
-        # The step's row, one for its holder and one for each group.
+        # Rows are written for the step, for its holder and for each group.
         self.assertEqual(fleet.platform.writes, 5)
 
     async def test_of_two_holders_the_first_to_record_wins(self):
         fleet = self.make_fleet("a", "b")
-        # The two hosts cannot hear each other, so each becomes a holder.
+        # The two hosts disagree about the holder, so each becomes a holder.
         fleet.holder_by_host = {"a": "a", "b": "b"}
         a, b = fleet.host_by_id["a"], fleet.host_by_id["b"]
         gate = asyncio.Event()
@@ -255,7 +255,7 @@
         a = fleet.host_by_id["a"]
         fleet.holder_by_host = {"a": "a"}
         first = a.store._replica_hosts(ACCOUNT, "s1", ZONE)[0]
-        # The fleet still takes the host for alive, but it does not answer.
+        # Membership still considers the host alive, but it does not reply.
         fleet.links_by_id.pop(first)
         await a.front.submit(make_spec(samples=8))
         got, _ = await a.collect("s1")
@@ -316,7 +316,7 @@
         await _common.eventually(lambda: len(fleet.engines.calls) == 3)
         await _common.eventually(lambda: len(a.holder.steps()[0].sample_by_slot) == 2)
         await a.holder.hand_over()
-        # The other host still takes the leaving one for the holder.
+        # The other host still considers the leaving host the holder.
         got, _ = await b.collect("s1")
         self.assertEqual(len(got), 3)
         self.assertEqual(len(fleet.engines.calls), 4)
@@ -356,7 +356,7 @@
     async def test_expired_records_are_deleted_and_others_stay(self):
         fleet = self.make_fleet("a", "b")
         a = fleet.host_by_id["a"]
-        # One step is long past its deadline, and its trainer never came back.
+        # One step is past its deadline and retention time; its trainer never returned.
         with mock.patch.object(step_records, "RETENTION_MS", -1_000_000):
             await a.front.submit(make_spec("old"))
             await a.collect("old")
@@ -430,7 +430,7 @@
         await reached.wait()
         fleet.engines.version = 3
         got, _ = await a.collect("s1", version=3)
-        # The first stream was never let go on, so it was dropped in flight.
+        # The first stream never got its last chunk, so it was dropped in flight.
         self.assertEqual(oldest_version(got[Slot(0, 0)]), 3)
         self.assertEqual(fleet.engines.calls[1]["min_version"], 2)
         self.assertEqual(fleet.engines.closed, 2)
@@ -520,7 +520,7 @@
         self.assertEqual(hedge["resume_text"], "slow")
         self.assertEqual(hedge["avoid"], ("e1",))
         self.assertEqual(hedge["max_tokens"], 99)
-        # Both copies finish at the same moment.
+        # Both streams finish at the same time.
         gate.set()
         got, answered = await a.collect("s1")
         self.assertEqual((len(got), len(answered)), (3, 3))
--- a/test/test_stragglers.py
+++ b/test/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Second copies are started only when they pay."""
+"""Tests of the start order of slots, and that streams are hedged only to save time."""
 
 import unittest
 
@@ -55,7 +55,8 @@
     def test_a_slow_stream_is_resumed_on_another_engine(self):
         slow = Progress(tokens=50, elapsed_ms=50_000, max_tokens=100)
         decision = decide_hedge(slow, 0, make_estimator(g0=100), 1, 1)
-        # 50 tokens remain: 50 s at its own rate; 0.5 s and the start elsewhere.
+        # 50 tokens remain: 50 s at the stream's own rate, but 0.5 s plus the start-up
+        # time of 0.3 s on another engine.
         self.assertEqual(decision, HedgeFromTokens(49_200))
 
     def test_a_stream_without_tokens_is_started_again(self):
