--- a/goldcrestmoor/version/configuration/cut_off.py
+++ b/goldcrestmoor/version/configuration/cut_off.py
@@ -108,12 +108,12 @@
         )
         if stricter is not None:
             accounts[name] = stricter
-    places = {
-        name: place
-        for name, place in part.places_by_upstream.items()
-        if proposal.places_by_upstream.get(name, place) == place
+    locations = {
+        name: location
+        for name, location in part.places_by_upstream.items()
+        if proposal.places_by_upstream.get(name, location) == location
     }
-    return CutOffPart(accounts, places)
+    return CutOffPart(accounts, locations)
 
 
 def expired_lease_configuration(configuration, proposals=()):
@@ -176,7 +176,7 @@
 
 
 def _stricter_delivery(first, second):
-    rule = first.on_version_change
-    if rule != second.on_version_change:
-        rule = VersionChangePolicy.CANCEL
-    return DeliveryRules(hedge=first.hedge and second.hedge, on_version_change=rule)
+    policy = first.on_version_change
+    if policy != second.on_version_change:
+        policy = VersionChangePolicy.CANCEL
+    return DeliveryRules(hedge=first.hedge and second.hedge, on_version_change=policy)
--- a/goldcrestmoor/version/steps/step_holder.py
+++ b/goldcrestmoor/version/steps/step_holder.py
@@ -135,9 +135,9 @@
                 )
             return wire.Done()
         self._check_capacity()
-        place = await self._store.save_step(spec, zone)
+        location = await self._store.save_step(spec, zone)
         log.info(
-            "Step %s of %s accepted; stored on %s.", spec.step, spec.account, place
+            "Step %s of %s accepted; stored on %s.", spec.step, spec.account, location
         )
         await self._get_or_load(spec.account, spec.step, spec)
         return wire.Done()
