--- a/goldcrestmoor/version/configuration/cut_off.py
+++ b/goldcrestmoor/version/configuration/cut_off.py
@@ -2,8 +2,8 @@
 
 The part contains the accounts that may be served meanwhile, with their cut-off share
 and staleness bound instead of the ordinary ones, and the location of each upstream.
-It omits slots, fencing and draining: nothing relies on the first two, and draining
-must be possible while a zone is partitioned.
+It omits slots, fencing and draining: the first two are not guaranteed to anyone, and
+draining must be possible while a zone is partitioned.
 """
 
 import msgspec
--- a/goldcrestmoor/version/configuration/driver.py
+++ b/goldcrestmoor/version/configuration/driver.py
@@ -179,8 +179,8 @@
         return self._settings.lease_ms + self._settings.lease_margin_ms
 
     async def _wait_until_effective(self, written, started_ms, deadline):
-        # By then, every lease from a read sent before the write has expired, so
-        # each host has either adopted this version or has an expired lease.
+        # By then, every lease from a read sent before the write took effect has
+        # expired, so each host has either adopted this version or no valid lease.
         effective_at = Deadline(
             self._clock, written.known_at_ms + self._propagation_ms()
         )
--- a/goldcrestmoor/version/configuration/lease.py
+++ b/goldcrestmoor/version/configuration/lease.py
@@ -231,8 +231,8 @@
         return self.prepare(message.proposal)
 
     async def _read(self):
-        # The proposal is read before the head: once the head that results from it
-        # is written, a later proposal may have replaced it.
+        # The proposal is read before the head: once the head that results from a
+        # proposal is written, a later proposal may have replaced it.
         proposal = None if self.ready() else await self._store.read_proposal()
         head = await self._store.read_head()
         if head.version > self._version:
