--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -43,9 +43,9 @@
 # Before the next ones are sent, those whose answers have just come get this share of
 # the longest of the last answers to make their next, or they would go by turns with
 # the others and wait twice as long. Nothing while the store is well.
-GATHER_SHARE = 0.1
+BATCH_DELAY_RATIO = 0.1
 # As long as a job gathers results.
-MAX_GATHER_MS = 50
+MAX_BATCH_DELAY_MS = 50
 
 
 class Applied(msgspec.Struct, frozen=True):
@@ -186,16 +186,18 @@
         """Send what waits, one group after another, until nothing does."""
         try:
             while self._waiting:
-                await self._gather()
+                await self._delay_batch()
                 group = self._take()
                 if group:
                     await self._send_patiently(group)
         finally:
             self._is_sending = False
 
-    async def _gather(self):
-        gather_ms = min(int(self._timeout.longest_ms * GATHER_SHARE), MAX_GATHER_MS)
-        wait_ms = max(gather_ms, self._pause_ms)
+    async def _delay_batch(self):
+        delay_ms = min(
+            int(self._timeout.peak_latency_ms * BATCH_DELAY_RATIO), MAX_BATCH_DELAY_MS
+        )
+        wait_ms = max(delay_ms, self._pause_ms)
         self._pause_ms = 0
         if wait_ms:
             await self._clock.sleep_ms(wait_ms)
--- a/goldcrestmoor/connection/adaptive_timeout.py
+++ b/goldcrestmoor/connection/adaptive_timeout.py
@@ -8,14 +8,14 @@
 import collections
 
 # Answers of some tenths of a second, from which the present is told.
-ANSWERS_KEPT = 4
+MAX_RESPONSES = 4
 # Twice the longest of the last answers is no ordinary one any more.
-SLACK_FACTOR = 2
+MARGIN_FACTOR = 2
 # A call that takes its turn behind others' may take eight times as long as one that
 # waits for nobody: a second at a store whose reads take a quarter of one.
-OTHERS_FACTOR = 8
+QUEUEING_FACTOR = 8
 # What is known of the longest answer fades by a fifth with each further one.
-FADE = 0.8
+DECAY_FACTOR = 0.8
 
 
 class AdaptiveTimeout:
@@ -23,46 +23,52 @@
 
     :param min_ms: the shortest wait, in milliseconds.
     :param max_ms: the longest wait for a store that gives no answers at all.
-    :param others_ms: gives how long other calls take at present, in milliseconds.
-    :ivar longest_ms: the longest of the last answers took about so long.
+    :param other_latency_ms: gives how long other calls currently take, in ms.
+    :ivar peak_latency_ms: the longest of the last answers took about so long.
     """
 
-    __slots__ = ("longest_ms", "_min_ms", "_max_ms", "_others_ms", "_missed")
+    __slots__ = (
+        "peak_latency_ms",
+        "_min_ms",
+        "_max_ms",
+        "_other_latency_ms",
+        "_timeouts",
+    )
 
-    def __init__(self, min_ms, max_ms, others_ms):
-        self.longest_ms = 0
+    def __init__(self, min_ms, max_ms, other_latency_ms):
+        self.peak_latency_ms = 0
         self._min_ms = min_ms
         self._max_ms = max_ms
-        self._others_ms = others_ms
-        self._missed = 0
+        self._other_latency_ms = other_latency_ms
+        self._timeouts = 0
 
     def wait_ms(self):
         """Return how long to wait, in milliseconds."""
-        unanswered_ms = min(self._min_ms << self._missed, self._max_ms)
-        own_ms = int(self.longest_ms * SLACK_FACTOR)
-        return max(unanswered_ms, own_ms, self._others_ms() * OTHERS_FACTOR)
+        backoff_ms = min(self._min_ms << self._timeouts, self._max_ms)
+        expected_ms = int(self.peak_latency_ms * MARGIN_FACTOR)
+        return max(backoff_ms, expected_ms, self._other_latency_ms() * QUEUEING_FACTOR)
 
     def record_response(self, elapsed_ms):
         """Take in how long an answer took, however late it came.
 
         :param elapsed_ms: the time, in milliseconds.
         """
-        self.longest_ms = max(elapsed_ms, self.longest_ms * FADE)
-        self._missed = 0
+        self.peak_latency_ms = max(elapsed_ms, self.peak_latency_ms * DECAY_FACTOR)
+        self._timeouts = 0
 
     def record_timeout(self):
         """Take in that no answer came in time: wait twice as long for the next."""
-        if self._min_ms << self._missed < self._max_ms:
-            self._missed += 1
+        if self._min_ms << self._timeouts < self._max_ms:
+            self._timeouts += 1
 
 
 class ResponseTimes:
     """How long answers take at present, from calls of which some wait for news."""
 
-    __slots__ = ("_times",)
+    __slots__ = ("_latencies_ms",)
 
     def __init__(self):
-        self._times = collections.deque(maxlen=ANSWERS_KEPT)
+        self._latencies_ms = collections.deque(maxlen=MAX_RESPONSES)
 
     def record(self, elapsed_ms, wait_ms):
         """Take in an answer.
@@ -72,8 +78,8 @@
         """
         # One that came sooner had news, and waited for it for some time or not at all.
         waited_ms = wait_ms if elapsed_ms >= wait_ms else 0
-        self._times.append(elapsed_ms - waited_ms)
+        self._latencies_ms.append(elapsed_ms - waited_ms)
 
     def typical_ms(self):
         """Return the least of the last answers, in milliseconds; 0 before the first."""
-        return min(self._times, default=0)
+        return min(self._latencies_ms, default=0)
--- a/goldcrestmoor/connection/health.py
+++ b/goldcrestmoor/connection/health.py
@@ -10,60 +10,60 @@
 # Bounds the memory; several times the 700 servers of a large fleet.
 MAX_UPSTREAMS = 4096
 # One or two lost answers are a link's; three in a row are the upstream's.
-FAILURES_UNTIL_OUT = 3
+EJECTION_FAILURES = 3
 # A restart takes about a second.
-OUT_MIN_MS = 1_000
+MIN_EJECTION_MS = 1_000
 # An upstream that stays away is tried once a minute.
-OUT_MAX_MS = 60_000
+MAX_EJECTION_MS = 60_000
 
 # A probe whose outcome is never recorded does not hold up the next one for good.
-PROBE_LIFETIME_MS = 30_000
+PROBE_TIMEOUT_MS = 30_000
 
 # Latencies are compared this often, as it costs time with each upstream of a pool.
-JUDGE_INTERVAL_MS = 500
+COMPARISON_INTERVAL_MS = 500
 # Latency that differs by less comes from the requests, not from the upstream.
 SLOW_FACTOR = 4
 # Among answers of a few milliseconds a factor alone says nothing.
 SLOW_MARGIN_MS = 50
 # Enough for a median that one odd answer doesn't move.
-LATENCIES_KEPT = 20
+MAX_LATENCIES = 20
 # Fewer give no median to compare.
-LATENCIES_NEEDED = 8
+MIN_LATENCIES = 8
 
 # At most one upstream in so many is kept out of a pool, but one of two may be.
-POOL_PART_OUT = 3
+UPSTREAMS_PER_EJECTION = 3
 
 
-class _State:
+class _UpstreamState:
     __slots__ = (
         "failures",
-        "rounds",
-        "out_until_ms",
+        "ejections",
+        "ejected_until_ms",
         "probe_until_ms",
-        "slow_bound_ms",
+        "max_latency_ms",
         "reason",
         "latencies_ms",
         "median_ms",
-        "judged_at_ms",
+        "compared_at_ms",
     )
 
     def __init__(self):
         self.failures = 0
-        self.rounds = 0
-        self.out_until_ms = None
+        self.ejections = 0
+        self.ejected_until_ms = None
         self.probe_until_ms = 0
-        self.slow_bound_ms = None
+        self.max_latency_ms = None
         self.reason = ""
-        self.latencies_ms = collections.deque(maxlen=LATENCIES_KEPT)
+        self.latencies_ms = collections.deque(maxlen=MAX_LATENCIES)
         self.median_ms = None
-        self.judged_at_ms = None
+        self.compared_at_ms = None
 
     def add_latency(self, latency_ms):
         self.latencies_ms.append(latency_ms)
-        if len(self.latencies_ms) >= LATENCIES_NEEDED:
+        if len(self.latencies_ms) >= MIN_LATENCIES:
             self.median_ms = statistics.median(self.latencies_ms)
 
-    def forget_latencies(self):
+    def clear_latencies(self):
         self.latencies_ms.clear()
         self.median_ms = None
 
@@ -74,12 +74,12 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     """
 
-    __slots__ = ("_clock", "_state_by_upstream", "_out")
+    __slots__ = ("_clock", "_state_by_upstream", "_ejected")
 
     def __init__(self, *, clock):
         self._clock = clock
         self._state_by_upstream = collections.OrderedDict()
-        self._out = set()
+        self._ejected = set()
 
     def record(self, upstream, ok, latency_ms=None):
         """Note what a request met.
@@ -96,42 +96,42 @@
             self._record_failure(upstream, state)
             return
         state.failures = 0
-        if state.out_until_ms is not None:
-            self._record_return(upstream, state, latency_ms)
+        if state.ejected_until_ms is not None:
+            self._record_recovery(upstream, state, latency_ms)
         elif latency_ms is not None:
             state.add_latency(latency_ms)
 
     def _record_failure(self, upstream, state):
         state.failures += 1
-        is_out = state.out_until_ms is not None
-        if is_out and self._clock.now_ms() < state.out_until_ms:
+        is_ejected = state.ejected_until_ms is not None
+        if is_ejected and self._clock.now_ms() < state.ejected_until_ms:
             # It was sent before the upstream went out and says nothing new.
             return
-        if is_out or state.failures >= FAILURES_UNTIL_OUT:
+        if is_ejected or state.failures >= EJECTION_FAILURES:
             reason = f"{state.failures} failures in a row"
-            self._take_out(upstream, state, reason)
+            self._eject(upstream, state, reason)
 
-    def _record_return(self, upstream, state, latency_ms):
-        bound_ms = state.slow_bound_ms
+    def _record_recovery(self, upstream, state, latency_ms):
+        bound_ms = state.max_latency_ms
         if bound_ms is not None and (latency_ms is None or latency_ms > bound_ms):
-            if self._clock.now_ms() >= state.out_until_ms:
-                self._take_out(upstream, state, state.reason)
+            if self._clock.now_ms() >= state.ejected_until_ms:
+                self._eject(upstream, state, state.reason)
             return
         log.info("%s is back in use.", upstream)
-        self._out.discard(upstream)
-        state.out_until_ms = None
-        state.slow_bound_ms = None
-        state.rounds = 0
+        self._ejected.discard(upstream)
+        state.ejected_until_ms = None
+        state.max_latency_ms = None
+        state.ejections = 0
         state.reason = ""
 
-    def _take_out(self, upstream, state, reason):
-        bound_ms = min(OUT_MAX_MS, OUT_MIN_MS << min(state.rounds, 16))
-        state.rounds += 1
+    def _eject(self, upstream, state, reason):
+        bound_ms = min(MAX_EJECTION_MS, MIN_EJECTION_MS << min(state.ejections, 16))
+        state.ejections += 1
         duration_ms = int(random.uniform(bound_ms / 2, bound_ms))
-        state.out_until_ms = self._clock.now_ms() + duration_ms
+        state.ejected_until_ms = self._clock.now_ms() + duration_ms
         state.reason = reason
-        state.forget_latencies()
-        self._out.add(upstream)
+        state.clear_latencies()
+        self._ejected.add(upstream)
         log.warning("%s is out for %d ms: %s.", upstream, duration_ms, reason)
 
     def usable(self, upstream_names):
@@ -144,26 +144,31 @@
         :return: a list of names, in the order given.
         """
         names = list(upstream_names)
-        most_out = max(1, len(names) // POOL_PART_OUT) if len(names) > 1 else 0
-        if most_out and self._is_judging_due(names[0]):
-            self._judge_slowest(names, most_out)
-        if not self._out:
+        max_ejected = (
+            max(1, len(names) // UPSTREAMS_PER_EJECTION) if len(names) > 1 else 0
+        )
+        if max_ejected and self._is_comparison_due(names[0]):
+            self._eject_slowest(names, max_ejected)
+        if not self._ejected:
             return names
-        out = [name for name in names if name in self._out]
-        out.sort(key=self._badness, reverse=True)
-        left_out = set(out[:most_out])
-        return [name for name in names if name not in left_out]
+        ejected = [name for name in names if name in self._ejected]
+        ejected.sort(key=self._severity, reverse=True)
+        excluded = set(ejected[:max_ejected])
+        return [name for name in names if name not in excluded]
 
-    def _is_judging_due(self, first_name):
+    def _is_comparison_due(self, first_name):
         state, now_ms = self._state(first_name), self._clock.now_ms()
-        judged_at_ms = state.judged_at_ms
-        if judged_at_ms is not None and now_ms < judged_at_ms + JUDGE_INTERVAL_MS:
+        compared_at_ms = state.compared_at_ms
+        if (
+            compared_at_ms is not None
+            and now_ms < compared_at_ms + COMPARISON_INTERVAL_MS
+        ):
             return False
-        state.judged_at_ms = now_ms
+        state.compared_at_ms = now_ms
         return True
 
-    def _judge_slowest(self, names, most_out):
-        if sum(name in self._out for name in names) >= most_out:
+    def _eject_slowest(self, names, max_ejected):
+        if sum(name in self._ejected for name in names) >= max_ejected:
             return
         states = ((name, self._state_by_upstream.get(name)) for name in names)
         medians = [
@@ -173,13 +178,13 @@
         ]
         if len(medians) < 2:
             return
-        slowest_ms, slowest = max(medians)
-        peers_ms = statistics.median(ms for ms, name in medians if name != slowest)
+        slowest_ms, slowest_name = max(medians)
+        peers_ms = statistics.median(ms for ms, name in medians if name != slowest_name)
         bound_ms = peers_ms * SLOW_FACTOR + SLOW_MARGIN_MS
         if slowest_ms > bound_ms:
-            self._state_by_upstream[slowest].slow_bound_ms = bound_ms
+            self._state_by_upstream[slowest_name].max_latency_ms = bound_ms
             reason = f"median of {slowest_ms:.0f} ms, its peers {peers_ms:.0f} ms"
-            self._take_out(slowest, self._state_by_upstream[slowest], reason)
+            self._eject(slowest_name, self._state_by_upstream[slowest_name], reason)
 
     def try_probe(self, upstream):
         """Take the right to send one request to an upstream that is out.
@@ -191,11 +196,11 @@
         """
         state = self._state_by_upstream.get(upstream)
         now_ms = self._clock.now_ms()
-        if state is None or state.out_until_ms is None:
+        if state is None or state.ejected_until_ms is None:
             return False
-        if now_ms < state.out_until_ms or now_ms < state.probe_until_ms:
+        if now_ms < state.ejected_until_ms or now_ms < state.probe_until_ms:
             return False
-        state.probe_until_ms = now_ms + PROBE_LIFETIME_MS
+        state.probe_until_ms = now_ms + PROBE_TIMEOUT_MS
         return True
 
     def reason(self, upstream):
@@ -204,21 +209,21 @@
         :param upstream: the upstream's name.
         """
         state = self._state_by_upstream.get(upstream)
-        if state is None or state.out_until_ms is None:
+        if state is None or state.ejected_until_ms is None:
             return ""
-        wait_ms = max(0, state.out_until_ms - self._clock.now_ms())
+        wait_ms = max(0, state.ejected_until_ms - self._clock.now_ms())
         return f"{state.reason}; tried again in {wait_ms} ms"
 
-    def _badness(self, name):
+    def _severity(self, name):
         state = self._state_by_upstream[name]
-        return state.failures, state.rounds, name
+        return state.failures, state.ejections, name
 
     def _state(self, upstream):
         state = self._state_by_upstream.get(upstream)
         if state is None:
-            state = self._state_by_upstream[upstream] = _State()
+            state = self._state_by_upstream[upstream] = _UpstreamState()
             if len(self._state_by_upstream) > MAX_UPSTREAMS:
-                forgotten, _ = self._state_by_upstream.popitem(last=False)
-                self._out.discard(forgotten)
+                evicted, _ = self._state_by_upstream.popitem(last=False)
+                self._ejected.discard(evicted)
         self._state_by_upstream.move_to_end(upstream)
         return state
--- a/goldcrestmoor/connection/http_client.py
+++ b/goldcrestmoor/connection/http_client.py
@@ -152,16 +152,16 @@
         limits = self._limits
         deadline = Deadline.after(self._clock, timeout_ms or limits.request_timeout_ms)
         request = _make_request(address, port, method, target, headers, body)
-        peer = (address, port)
+        endpoint = (address, port)
         connection = await self._pool.acquire(
-            peer, deadline, idempotent, fresh, connect_timeout_ms
+            endpoint, deadline, idempotent, fresh, connect_timeout_ms
         )
         response = ResponseStream(
             connection, deadline, progress_timeout_ms or limits.progress_timeout_ms
         )
         try:
             if deadline.passed():
-                raise unreachable(peer, "no time was left to send the request")
+                raise unreachable(endpoint, "no time was left to send the request")
             if before_send is not None:
                 before_send()
             connection.send(request, body)
@@ -170,10 +170,10 @@
         except ServiceError:
             # What has lost track of one old connection has often lost them all.
             if connection.reused:
-                self._pool.drop(peer)
+                self._pool.drop(endpoint)
             raise
         finally:
-            if response.is_whole:
+            if response.is_complete:
                 self._pool.release(connection)
             else:
                 connection.abort()
@@ -202,7 +202,7 @@
     __slots__ = (
         "status",
         "headers",
-        "is_whole",
+        "is_complete",
         "_connection",
         "_deadline",
         "_progress_timeout_ms",
@@ -211,7 +211,7 @@
     def __init__(self, connection, deadline, progress_timeout_ms):
         self.status = None
         self.headers = ()
-        self.is_whole = False
+        self.is_complete = False
         self._connection = connection
         self._deadline = deadline
         self._progress_timeout_ms = progress_timeout_ms
@@ -231,7 +231,7 @@
         while isinstance(event, h11.InformationalResponse):
             event = await self._connection.next_event(deadline.remaining_ms)
         self._check_framing(event, method, allow_close_delimited)
-        self._connection.note_keep_alive(event.headers)
+        self._connection.record_keep_alive(event.headers)
         self.status = event.status_code
         self.headers = list(end_to_end(event.headers))
 
@@ -251,14 +251,14 @@
 
         :raises ServiceError: ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT``.
         """
-        while not self.is_whole:
-            event = await self._connection.next_event(self._wait_ms)
+        while not self.is_complete:
+            event = await self._connection.next_event(self._read_timeout_ms)
             if isinstance(event, h11.EndOfMessage):
-                self.is_whole = True
+                self.is_complete = True
             elif event.data:
                 yield bytes(event.data)
 
-    def _wait_ms(self):
+    def _read_timeout_ms(self):
         return min(self._progress_timeout_ms, self._deadline.remaining_ms())
 
 
--- a/goldcrestmoor/connection/http_connection.py
+++ b/goldcrestmoor/connection/http_connection.py
@@ -16,8 +16,8 @@
 
 # After a stall of this process the timer ends the wait for a connection that the kernel
 # has made meanwhile; a few turns of the loop later it is there.
-AFTER_STALL_MS = 10
-KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
+CONNECT_GRACE_MS = 10
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d{1,6})")
 # A request must reach the server before it closes the connection as idle.
 KEEP_ALIVE_MARGIN_MS = 500
 
@@ -28,7 +28,7 @@
     """A connection that carries one request at a time.
 
     Its socket is read only while an answer is awaited. Whatever reached it before
-    a request is written therefore lies in the socket, where :meth:`is_clean` sees
+    a request is written therefore lies in the socket, where :meth:`is_usable` sees
     it without waiting.
 
     :param reader: the asyncio stream reader.
@@ -41,7 +41,7 @@
         "target",
         "reused",
         "idle_since_ms",
-        "idle_bound_ms",
+        "max_idle_ms",
         "_reader",
         "_writer",
         "_codec",
@@ -52,7 +52,7 @@
         self.target = target
         self.reused = False
         self.idle_since_ms = 0
-        self.idle_bound_ms = None
+        self.max_idle_ms = None
         self._reader = reader
         self._writer = writer
         self._max_header_bytes = max_header_bytes
@@ -84,7 +84,7 @@
             raise unreachable(target, "connection refused") from e
         return cls(reader, writer, target, limits.max_header_bytes)
 
-    def is_clean(self):
+    def is_usable(self):
         """Tell whether it is open with nothing unread on it."""
         transport = self._writer.transport
         if transport.is_closing() or self._reader.at_eof():
@@ -145,16 +145,16 @@
         if size > self._max_header_bytes:
             raise failed(self.target, "the answer's head is too large")
 
-    def note_keep_alive(self, headers):
+    def record_keep_alive(self, headers):
         """Learn how long the server keeps the connection when it is idle.
 
         :param headers: the answer's ``(name, value)`` byte pairs.
         """
         for name, value in headers:
-            found = KEEP_ALIVE.search(value) if name == b"keep-alive" else None
+            found = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
             if found is not None:
                 stated_ms = int(found[1]) * MS_PER_SECOND
-                self.idle_bound_ms = max(0, stated_ms - KEEP_ALIVE_MARGIN_MS)
+                self.max_idle_ms = max(0, stated_ms - KEEP_ALIVE_MARGIN_MS)
 
     def finish(self):
         """Make ready for another request after a whole answer.
@@ -209,7 +209,7 @@
         )
     )
     try:
-        for wait_ms in (timeout_ms, AFTER_STALL_MS):
+        for wait_ms in (timeout_ms, CONNECT_GRACE_MS):
             await asyncio.wait((opening,), timeout=wait_ms / MS_PER_SECOND)
             if opening.done():
                 return opening.result()
--- a/goldcrestmoor/connection/http_pool.py
+++ b/goldcrestmoor/connection/http_pool.py
@@ -10,9 +10,9 @@
 log = logging.getLogger("goldcrestmoor.pool")
 
 # A burst to one upstream is at most its slots; more would stay idle.
-MAX_IDLE_PER_TARGET = 32
+MAX_IDLE_CONNECTIONS_PER_TARGET = 32
 # Bounds the descriptors of idle connections; the smallest hosts have 4,100.
-MAX_IDLE = 1024
+MAX_IDLE_CONNECTIONS = 1024
 
 # A server that has just answered is alive and is not about to close the connection
 # as idle. Only such a connection carries a request that may not be repeated.
@@ -73,7 +73,7 @@
         connection = await HttpConnection.dial(
             target, timeout_ms, self._limits, self._source
         )
-        if connection.is_clean():
+        if connection.is_usable():
             return connection
         connection.abort()
         raise unreachable(target, "closed before the request was sent")
@@ -86,13 +86,13 @@
             self.idle_count -= 1
             if not idle:
                 del self._idle_by_target[target]
-            if not self._has_expired(connection) and connection.is_clean():
+            if not self._has_expired(connection) and connection.is_usable():
                 return connection
             connection.abort()
         return None
 
     def _has_expired(self, connection):
-        bound_ms = connection.idle_bound_ms
+        bound_ms = connection.max_idle_ms
         idle_ms = self._clock.now_ms() - connection.idle_since_ms
         return bound_ms is not None and idle_ms > bound_ms
 
@@ -102,21 +102,25 @@
         :param target: the ``(address, port)`` pair.
         """
         idle = self._idle_by_target.get(target)
-        return bool(idle) and not self._has_expired(idle[-1]) and idle[-1].is_clean()
+        return bool(idle) and not self._has_expired(idle[-1]) and idle[-1].is_usable()
 
     def release(self, connection):
         """Take back a connection after a whole answer.
 
         :param connection: the :class:`HttpConnection`.
         """
-        if self._closed or self.idle_count >= MAX_IDLE or not connection.finish():
+        if (
+            self._closed
+            or self.idle_count >= MAX_IDLE_CONNECTIONS
+            or not connection.finish()
+        ):
             connection.abort()
             return
         connection.idle_since_ms = self._clock.now_ms()
         idle = self._idle_by_target.setdefault(connection.target, collections.deque())
         idle.append(connection)
         self.idle_count += 1
-        if len(idle) > MAX_IDLE_PER_TARGET:
+        if len(idle) > MAX_IDLE_CONNECTIONS_PER_TARGET:
             idle.popleft().abort()
             self.idle_count -= 1
         if self._reaper is None or self._reaper.done():
@@ -151,7 +155,7 @@
         for connection in self._idle_by_target.pop(target, ()):
             is_fresh = connection.idle_since_ms > oldest_ms
             is_fresh = is_fresh and not self._has_expired(connection)
-            if is_fresh and connection.is_clean():
+            if is_fresh and connection.is_usable():
                 kept.append(connection)
             else:
                 connection.abort()
--- a/goldcrestmoor/connection/peer_link.py
+++ b/goldcrestmoor/connection/peer_link.py
@@ -10,11 +10,11 @@
 log = logging.getLogger("goldcrestmoor.peers")
 
 # Bounds what is kept for a peer that takes nothing.
-MAX_OUTBOX = 1000
+MAX_OUTBOX_MESSAGES = 1000
 # A sound peer answers in milliseconds.
-SILENT_MS = 1000
+UNRESPONSIVE_MS = 1000
 # One lost answer may be the call's; two are the connection's.
-SILENT_CALLS = 2
+UNRESPONSIVE_CALLS = 2
 
 
 class PeerLink:
@@ -31,62 +31,64 @@
     __slots__ = (
         "host_id",
         "endpoint",
-        "used_ms",
-        "is_pinged",
+        "last_used_ms",
+        "is_ping_pending",
         "pending_by_call_id",
         "_clock",
         "_socket",
         "_outbox",
         "_on_frames",
-        "_received_ms",
-        "_unanswered",
+        "_last_received_ms",
+        "_unanswered_calls",
         "_tasks",
     )
 
     def __init__(self, *, clock, host_id, endpoint, socket, tasks, on_frames):
         self.host_id = host_id
         self.endpoint = endpoint
-        self.used_ms = clock.now_ms()
-        self.is_pinged = False
+        self.last_used_ms = clock.now_ms()
+        self.is_ping_pending = False
         self.pending_by_call_id = {}
         self._clock = clock
         self._socket = socket
-        self._outbox = asyncio.Queue(MAX_OUTBOX)
+        self._outbox = asyncio.Queue(MAX_OUTBOX_MESSAGES)
         self._on_frames = on_frames
-        self._received_ms = clock.now_ms()
-        self._unanswered = 0
+        self._last_received_ms = clock.now_ms()
+        self._unanswered_calls = 0
         self._tasks = [
             tasks.start(self._send(), f"send to {host_id}"),
             tasks.start(self._receive(), f"receive from {host_id}"),
         ]
 
-    def put(self, parts, deadline):
+    def enqueue(self, parts, deadline):
         """Queue a message for the peer.
 
         :param parts: its frames.
         :param deadline: when it is no longer worth sending.
         :return: whether there was room for it.
         """
-        self.used_ms = self._clock.now_ms()
+        self.last_used_ms = self._clock.now_ms()
         try:
             self._outbox.put_nowait((parts, deadline))
         except asyncio.QueueFull:
             return False
         return True
 
-    def note_timeout(self):
+    def record_timeout(self):
         """Count a call that went unanswered.
 
         :return: whether the link has gone silent and must be dialled anew.
         """
-        self._unanswered += 1
-        silent_ms = self._clock.now_ms() - self._received_ms
-        return self._unanswered >= SILENT_CALLS and silent_ms >= SILENT_MS
+        self._unanswered_calls += 1
+        idle_ms = self._clock.now_ms() - self._last_received_ms
+        return (
+            self._unanswered_calls >= UNRESPONSIVE_CALLS and idle_ms >= UNRESPONSIVE_MS
+        )
 
-    def is_in_doubt(self):
+    def should_ping(self):
         """Tell whether it has been silent for so long that it should be asked."""
-        silent_ms = self._clock.now_ms() - self._received_ms
-        return silent_ms >= SILENT_MS and not self.is_pinged
+        idle_ms = self._clock.now_ms() - self._last_received_ms
+        return idle_ms >= UNRESPONSIVE_MS and not self.is_ping_pending
 
     def close(self):
         """Close the socket at once; calls that still wait are given up."""
@@ -114,6 +116,6 @@
     async def _receive(self):
         while True:
             parts = await self._socket.recv_multipart()
-            self._received_ms = self._clock.now_ms()
-            self._unanswered = 0
+            self._last_received_ms = self._clock.now_ms()
+            self._unanswered_calls = 0
             self._on_frames(self, parts)
--- a/goldcrestmoor/connection/peer_sockets.py
+++ b/goldcrestmoor/connection/peer_sockets.py
@@ -26,7 +26,7 @@
 HANDSHAKE_TIMEOUT_MS = 2000
 
 
-class _FleetKeyOnly:
+class _FleetKeyProvider:
     """Admits the one key that all daemons of the fleet share."""
 
     __slots__ = ("_key",)
@@ -64,7 +64,7 @@
         """Start to authenticate peers. Call it before any socket is bound."""
         self._authenticator.start()
         self._authenticator.configure_curve_callback(
-            "*", _FleetKeyOnly(self._public_key)
+            "*", _FleetKeyProvider(self._public_key)
         )
 
     def bind(self, address, port):
--- a/goldcrestmoor/connection/peers.py
+++ b/goldcrestmoor/connection/peers.py
@@ -26,15 +26,15 @@
 # Bounds what peers can make this host work on at a time.
 MAX_HANDLERS = 1024
 # Probes use most links more often; the others are cheap to dial again.
-IDLE_LINK_MS = 120_000
+MAX_LINK_IDLE_MS = 120_000
 # How often idle links are looked for.
-SWEEP_MS = 5000
+CLEANUP_INTERVAL_MS = 5000
 # Messages without an answer are news, which is stale by then.
 SEND_DEADLINE_MS = 1000
 # Two processes never draw the same number.
 INCARNATION_BYTES = 8
 COUNTER_BYTES = frames.CALL_ID_BYTES - INCARNATION_BYTES
-WHERE = "peer"
+BAD_INPUT_LABEL = "peer"
 
 # A call may wait long for its answer; meanwhile the link is asked to show that it
 # still carries anything.
@@ -72,9 +72,9 @@
         "_counter",
         "_links_by_host_id",
         "_handlers_by_class",
-        "_urgent",
+        "_urgent_classes",
         "_running_handlers",
-        "_pending",
+        "_pending_calls",
         "_closed",
         "_tasks",
     )
@@ -94,9 +94,9 @@
         self._counter = 0
         self._links_by_host_id = {}
         self._handlers_by_class = {}
-        self._urgent = set()
+        self._urgent_classes = set()
         self._running_handlers = 0
-        self._pending = 0
+        self._pending_calls = 0
         self._closed = False
         self._tasks = TaskGroup()
         self.register(Ping, self._on_ping, urgent=True)
@@ -111,20 +111,20 @@
         """
         self._handlers_by_class[message_class] = handler
         if urgent:
-            self._urgent.add(message_class)
+            self._urgent_classes.add(message_class)
 
     async def start(self):
         """Listen for peers."""
         self._sockets.start()
         self._router = self._sockets.bind(self._host.address, self._host.peer_port)
         self._tasks.start(self._serve(), "serve peers")
-        self._tasks.start(self._sweep(), "close idle links")
+        self._tasks.start(self._close_idle_links(), "close idle links")
 
     async def close(self):
         """Close every link; calls that still wait are given up."""
         self._closed = True
         for link in list(self._links_by_host_id.values()):
-            self._drop(link)
+            self._close_link(link)
         await self._tasks.close()
         if self._router is not None:
             self._router.close(linger=0)
@@ -159,29 +159,29 @@
             log.debug("No address is known for %s.", host_id)
             return
         deadline = Deadline.after(self._clock, SEND_DEADLINE_MS)
-        self._put(link, frames.KIND_SEND, self._next_call_id(), message, deadline)
+        self._enqueue(link, frames.KIND_SEND, self._next_call_id(), message, deadline)
 
     async def _call(self, host_id, message, timeout_ms):
-        if self._pending >= MAX_PENDING_CALLS:
+        if self._pending_calls >= MAX_PENDING_CALLS:
             raise ServiceError(ErrorKind.OVERLOADED, "Too many calls wait for peers.")
         link = self._link(host_id)
         deadline = Deadline.after(self._clock, timeout_ms)
         call_id = self._next_call_id()
         future = asyncio.get_running_loop().create_future()
         link.pending_by_call_id[call_id] = future
-        self._pending += 1
+        self._pending_calls += 1
         try:
-            if not self._put(link, frames.KIND_CALL, call_id, message, deadline):
+            if not self._enqueue(link, frames.KIND_CALL, call_id, message, deadline):
                 raise ServiceError(ErrorKind.PEER_UNREACHABLE, "The link is full.")
             await self._wait(link, future, deadline)
         finally:
-            self._pending -= 1
+            self._pending_calls -= 1
             link.pending_by_call_id.pop(call_id, None)
         if future.done() and not future.cancelled():
             return future.result()
-        if not future.cancelled() and link.note_timeout():
+        if not future.cancelled() and link.record_timeout():
             log.warning("The link to %s went silent and is dialled anew.", host_id)
-            self._drop(link)
+            self._close_link(link)
         raise ServiceError(ErrorKind.PEER_UNREACHABLE, f"No answer from {host_id}.")
 
     async def _wait(self, link, future, deadline):
@@ -189,8 +189,8 @@
         while not future.done() and not deadline.passed():
             wait_ms = min(PING_AFTER_MS, deadline.remaining_ms())
             await asyncio.wait((future,), timeout=wait_ms / MS_PER_SECOND)
-            if not future.done() and link.is_in_doubt() and not deadline.passed():
-                link.is_pinged = True
+            if not future.done() and link.should_ping() and not deadline.passed():
+                link.is_ping_pending = True
                 self._tasks.start(self._ping(link), f"ping {link.host_id}")
 
     async def _ping(self, link):
@@ -199,7 +199,7 @@
         except ServiceError as e:
             log.debug("No sign of %s: %s", link.host_id, e)
         finally:
-            link.is_pinged = False
+            link.is_ping_pending = False
 
     async def _on_ping(self, sender, message):
         return Done()
@@ -214,40 +214,40 @@
         if link is not None and link.endpoint == endpoint:
             return link
         if link is not None:
-            self._drop(link)
-        self._make_room()
+            self._close_link(link)
+        self._ensure_capacity()
         link = PeerLink(
             clock=self._clock,
             host_id=host_id,
             endpoint=endpoint,
             socket=self._sockets.connect(*endpoint),
             tasks=self._tasks,
-            on_frames=self._take_reply,
+            on_frames=self._on_reply,
         )
         self._links_by_host_id[host_id] = link
         return link
 
-    def _make_room(self):
+    def _ensure_capacity(self):
         if len(self._links_by_host_id) < MAX_LINKS:
             return
         links = self._links_by_host_id.values()
         idle = [link for link in links if not link.pending_by_call_id]
         if not idle:
             raise ServiceError(ErrorKind.OVERLOADED, "Every peer link is in use.")
-        self._drop(min(idle, key=lambda link: link.used_ms))
+        self._close_link(min(idle, key=lambda link: link.last_used_ms))
 
-    def _drop(self, link):
+    def _close_link(self, link):
         if self._links_by_host_id.get(link.host_id) is link:
             del self._links_by_host_id[link.host_id]
         link.close()
 
-    async def _sweep(self):
+    async def _close_idle_links(self):
         while True:
-            await self._clock.sleep_ms(SWEEP_MS)
-            oldest_ms = self._clock.now_ms() - IDLE_LINK_MS
+            await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
+            oldest_ms = self._clock.now_ms() - MAX_LINK_IDLE_MS
             for link in list(self._links_by_host_id.values()):
-                if link.used_ms < oldest_ms and not link.pending_by_call_id:
-                    self._drop(link)
+                if link.last_used_ms < oldest_ms and not link.pending_by_call_id:
+                    self._close_link(link)
 
     def _next_call_id(self):
         self._counter += 1
@@ -265,14 +265,16 @@
                 deadline_ms,
             )
         parts = frames.encode(kind, call_id, headers, message)
-        self._count(self.bytes_sent_by_class, "sent", type(message).__name__, parts)
+        self._count_bytes(
+            self.bytes_sent_by_class, "sent", type(message).__name__, parts
+        )
         return parts
 
-    def _put(self, link, kind, call_id, message, deadline):
+    def _enqueue(self, link, kind, call_id, message, deadline):
         parts = self._encode(kind, call_id, message, deadline.remaining_ms())
-        return link.put(parts, deadline)
+        return link.enqueue(parts, deadline)
 
-    def _count(self, bytes_by_class, direction, name, parts):
+    def _count_bytes(self, bytes_by_class, direction, name, parts):
         count = frames.size(parts)
         bytes_by_class[name] += count
         self._metrics.control_bytes.labels(name, direction).inc(count)
@@ -281,13 +283,15 @@
         try:
             envelope = frames.decode(parts)
         except ServiceError as e:
-            self._metrics.bad_input.labels(WHERE).inc()
+            self._metrics.bad_input.labels(BAD_INPUT_LABEL).inc()
             log.warning("Refused peer frames: %s", e)
             return None
-        self._count(self.bytes_received_by_class, "received", envelope.name, parts)
+        self._count_bytes(
+            self.bytes_received_by_class, "received", envelope.name, parts
+        )
         return envelope
 
-    def _take_reply(self, link, parts):
+    def _on_reply(self, link, parts):
         envelope = self._decode(parts)
         if envelope is None:
             return
@@ -314,7 +318,7 @@
             self._dispatch(identity, envelope)
 
     def _dispatch(self, identity, envelope):
-        urgent = type(envelope.message) in self._urgent
+        urgent = type(envelope.message) in self._urgent_classes
         if self._running_handlers >= MAX_HANDLERS and not urgent:
             error = ServiceError(ErrorKind.OVERLOADED, "Too many peer messages.")
             self._reply(identity, envelope, Failed(to_body(error)))
@@ -340,8 +344,8 @@
             if handler is None:
                 raise ServiceError(ErrorKind.BAD_REQUEST, "No handler for the message.")
             # The caller has gone once its deadline is over: work for it ends.
-            limit_s = None if timeout_ms is None else timeout_ms / MS_PER_SECOND
-            async with asyncio.timeout(limit_s):
+            timeout_s = None if timeout_ms is None else timeout_ms / MS_PER_SECOND
+            async with asyncio.timeout(timeout_s):
                 answer = await handler(envelope.headers.sender, envelope.message)
         except ServiceError as e:
             return Failed(to_body(e))
--- a/goldcrestmoor/connection/retry_budget.py
+++ b/goldcrestmoor/connection/retry_budget.py
@@ -12,12 +12,12 @@
 FLOOR_INTERVAL_MS = 10_000
 
 
-class _Account:
-    __slots__ = ("saved", "floor_at_ms")
+class _Bucket:
+    __slots__ = ("saved", "guaranteed_at_ms")
 
     def __init__(self, now_ms):
         self.saved = 0.0
-        self.floor_at_ms = now_ms
+        self.guaranteed_at_ms = now_ms
 
 
 class RetryBudget:
@@ -27,20 +27,20 @@
     :param percent: retries allowed for each hundred requests.
     """
 
-    __slots__ = ("_clock", "_share", "_account_by_upstream")
+    __slots__ = ("_clock", "_retry_ratio", "_bucket_by_upstream")
 
     def __init__(self, *, clock, percent):
         self._clock = clock
-        self._share = percent / PERCENT
-        self._account_by_upstream = collections.OrderedDict()
+        self._retry_ratio = percent / PERCENT
+        self._bucket_by_upstream = collections.OrderedDict()
 
     def record_request(self, upstream):
         """Count a first send.
 
         :param upstream: the upstream that it went to, or its pool.
         """
-        account = self._account(upstream)
-        account.saved = min(MAX_SAVED_RETRIES, account.saved + self._share)
+        bucket = self._bucket(upstream)
+        bucket.saved = min(MAX_SAVED_RETRIES, bucket.saved + self._retry_ratio)
 
     def try_retry(self, upstream):
         """Take one retry out of the budget, where there is one.
@@ -48,23 +48,23 @@
         :param upstream: the upstream that the retry would go to, or its pool.
         :return: whether it may be sent.
         """
-        account = self._account(upstream)
+        bucket = self._bucket(upstream)
         # The shares are sums of fractions, so that a whole one may lie just below.
-        if account.saved >= 1 - 1e-9:
-            account.saved -= 1
+        if bucket.saved >= 1 - 1e-9:
+            bucket.saved -= 1
             return True
         now_ms = self._clock.now_ms()
-        if self._share and now_ms >= account.floor_at_ms:
-            account.floor_at_ms = now_ms + FLOOR_INTERVAL_MS
+        if self._retry_ratio and now_ms >= bucket.guaranteed_at_ms:
+            bucket.guaranteed_at_ms = now_ms + FLOOR_INTERVAL_MS
             return True
         return False
 
-    def _account(self, upstream):
-        account = self._account_by_upstream.get(upstream)
-        if account is None:
-            account = _Account(self._clock.now_ms())
-            self._account_by_upstream[upstream] = account
-            if len(self._account_by_upstream) > MAX_UPSTREAMS:
-                self._account_by_upstream.popitem(last=False)
-        self._account_by_upstream.move_to_end(upstream)
-        return account
+    def _bucket(self, upstream):
+        bucket = self._bucket_by_upstream.get(upstream)
+        if bucket is None:
+            bucket = _Bucket(self._clock.now_ms())
+            self._bucket_by_upstream[upstream] = bucket
+            if len(self._bucket_by_upstream) > MAX_UPSTREAMS:
+                self._bucket_by_upstream.popitem(last=False)
+        self._bucket_by_upstream.move_to_end(upstream)
+        return bucket
--- a/test/test_adaptive_timeout.py
+++ b/test/test_adaptive_timeout.py
@@ -5,7 +5,7 @@
 from goldcrestmoor.connection.adaptive_timeout import AdaptiveTimeout, ResponseTimes
 
 
-class PatienceTest(unittest.TestCase):
+class AdaptiveTimeoutTest(unittest.TestCase):
     def setUp(self):
         self.read_ms = 5
         self.timeout = AdaptiveTimeout(300, 500, lambda: self.read_ms)
@@ -38,11 +38,11 @@
         self.assertEqual(self.timeout.wait_ms(), 300)
 
 
-class AnswerTimesTest(unittest.TestCase):
+class ResponseTimesTest(unittest.TestCase):
     def setUp(self):
         self.times = ResponseTimes()
 
-    def note_all(self, *elapsed_ms):
+    def record_all(self, *elapsed_ms):
         for each_ms in elapsed_ms:
             self.times.record(each_ms, 500)
 
@@ -50,13 +50,13 @@
         self.assertEqual(self.times.typical_ms(), 0)
 
     def test_a_feed_without_news_waits_and_is_not_slow(self):
-        self.note_all(505, 506, 504, 507)
+        self.record_all(505, 506, 504, 507)
         self.assertEqual(self.times.typical_ms(), 4)
 
     def test_a_feed_with_news_late_in_its_wait_is_not_slow(self):
-        self.note_all(450, 6, 300, 505)
+        self.record_all(450, 6, 300, 505)
         self.assertLessEqual(self.times.typical_ms(), 6)
 
     def test_a_slow_store_shows_in_all_answers(self):
-        self.note_all(240, 260, 745, 310)
+        self.record_all(240, 260, 745, 310)
         self.assertGreaterEqual(self.times.typical_ms(), 240)
--- a/test/test_health.py
+++ b/test/test_health.py
@@ -22,18 +22,18 @@
         self.clock = FakeClock()
         self.health = UpstreamHealth(clock=self.clock)
 
-    def fail(self, upstream, times=health.FAILURES_UNTIL_OUT):
+    def fail(self, upstream, times=health.EJECTION_FAILURES):
         for _ in range(times):
             self.health.record(upstream, False)
 
     def answer(self, upstream, latency_ms):
-        for _ in range(health.LATENCIES_NEEDED):
+        for _ in range(health.MIN_LATENCIES):
             self.health.record(upstream, True, latency_ms)
 
     def test_failures_in_a_row_take_an_upstream_out(self):
-        self.fail("lm-1", health.FAILURES_UNTIL_OUT - 1)
+        self.fail("lm-1", health.EJECTION_FAILURES - 1)
         self.health.record("lm-1", True, 10)
-        self.fail("lm-1", health.FAILURES_UNTIL_OUT - 1)
+        self.fail("lm-1", health.EJECTION_FAILURES - 1)
         self.assertEqual(self.health.usable(POOL), POOL)
         self.fail("lm-1", 1)
         self.assertNotIn("lm-1", self.health.usable(POOL))
@@ -42,7 +42,7 @@
     def test_one_probe_at_a_time_brings_it_back(self):
         self.fail("lm-1")
         self.assertFalse(self.health.try_probe("lm-1"))
-        self.clock.ms += health.OUT_MIN_MS
+        self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
         self.assertFalse(self.health.try_probe("lm-1"))
         self.assertNotIn("lm-1", self.health.usable(POOL))
@@ -60,18 +60,18 @@
             waits_ms.append(self.clock.ms - started_ms)
             self.fail("lm-1", 1)
         self.assertGreater(waits_ms[-1], waits_ms[0])
-        self.assertLessEqual(max(waits_ms), health.OUT_MAX_MS + 100)
+        self.assertLessEqual(max(waits_ms), health.MAX_EJECTION_MS + 100)
 
     def test_failures_of_requests_sent_before_do_not_lengthen_it(self):
         self.fail("lm-1", 50)
-        self.clock.ms += health.OUT_MIN_MS
+        self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
 
     def test_a_lost_probe_does_not_hold_it_for_good(self):
         self.fail("lm-1")
-        self.clock.ms += health.OUT_MIN_MS
+        self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
-        self.clock.ms += health.PROBE_LIFETIME_MS
+        self.clock.ms += health.PROBE_TIMEOUT_MS
         self.assertTrue(self.health.try_probe("lm-1"))
 
     def test_never_more_than_a_third_of_a_pool_is_out(self):
@@ -89,11 +89,11 @@
         for upstream in POOL:
             self.answer(upstream, 2000 if upstream == "lm-2" else 100)
         self.assertNotIn("lm-2", self.health.usable(POOL))
-        self.clock.ms += health.OUT_MIN_MS
+        self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-2"))
         self.health.record("lm-2", True, 2000)
         self.assertNotIn("lm-2", self.health.usable(POOL))
-        self.clock.ms += 2 * health.OUT_MIN_MS
+        self.clock.ms += 2 * health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-2"))
         self.health.record("lm-2", True, 120)
         self.assertEqual(self.health.usable(POOL), POOL)
@@ -102,10 +102,10 @@
         for upstream in POOL:
             self.answer(upstream, 100)
         self.assertEqual(self.health.usable(POOL), POOL)
-        for _ in range(health.LATENCIES_KEPT):
+        for _ in range(health.MAX_LATENCIES):
             self.health.record("lm-0", True, 2000)
         self.assertEqual(self.health.usable(POOL), POOL)
-        self.clock.ms += health.JUDGE_INTERVAL_MS
+        self.clock.ms += health.COMPARISON_INTERVAL_MS
         self.assertEqual(self.health.usable(POOL), POOL[1:])
 
     def test_memory_is_bounded(self):
--- a/test/test_http_client.py
+++ b/test/test_http_client.py
@@ -249,7 +249,7 @@
             # The close reaches this end before the next request is written.
             await _common.eventually(
                 lambda: all(
-                    not connection.is_clean()
+                    not connection.is_usable()
                     for idle in self.client._pool._idle_by_target.values()
                     for connection in idle
                 )
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -146,7 +146,7 @@
         port = silent.bind_to_random_port("tcp://127.0.0.1")
         old._socket.disconnect(old._socket.last_endpoint)
         old._socket.connect(f"tcp://127.0.0.1:{port}")
-        timeout_ms = peer_link.SILENT_MS
+        timeout_ms = peer_link.UNRESPONSIVE_MS
 
         async def answered():
             try:
@@ -169,7 +169,7 @@
 
         async def answered():
             try:
-                return await self.call("again", peer_link.SILENT_MS)
+                return await self.call("again", peer_link.UNRESPONSIVE_MS)
             except ServiceError:
                 return None
 
