--- a/goldcrestmoor/adapters/engine.py
+++ b/goldcrestmoor/adapters/engine.py
@@ -10,7 +10,7 @@
 
 JSON_HEADER = (b"Content-Type", b"application/json")
 EVENT_PREFIX = b"data:"
-END_MARK = b"[DONE]"
+END_OF_STREAM = b"[DONE]"
 MAX_EVENT_BYTES = 1 << 20
 ROLE_LEAVING = "leaving"
 STATUS_OK = 200
@@ -46,7 +46,7 @@
     version: int | None = None
 
 
-class _Ordered(msgspec.Struct):
+class _LoadOrderReply(msgspec.Struct):
     version: int
 
 
@@ -122,20 +122,20 @@
                 if says_leaving(response.headers):
                     self._on_leaving(upstream.name)
                 _check_status(response.status, upstream)
-                last = None
+                held_chunk = None
                 events = _events(
                     response.body(), upstream, self._clock, idle_timeout_ms
                 )
                 async for data in events:
-                    if last is not None:
-                        yield last
-                    last = _piece(data, upstream)
-                    if not last.finish_reason:
-                        yield last
-                        last = None
+                    if held_chunk is not None:
+                        yield held_chunk
+                    held_chunk = _decode_chunk(data, upstream)
+                    if not held_chunk.finish_reason:
+                        yield held_chunk
+                        held_chunk = None
                 # The piece that ends the text counts only with the end mark.
-                if last is not None:
-                    yield last
+                if held_chunk is not None:
+                    yield held_chunk
 
     async def order(self, upstream, *, model, version, fencing, timeout_ms):
         """Order an engine to load a weight version, and return what it then runs.
@@ -156,7 +156,7 @@
             text = f"{upstream.name} refused an old fencing number."
             raise ServiceError(ErrorKind.VERSION_CONFLICT, text)
         _check_status(response.status, upstream)
-        return _decode(response.body, _Ordered, upstream).version
+        return _decode(response.body, _LoadOrderReply, upstream).version
 
     async def state(self, upstream, *, timeout_ms):
         """Return what an engine reports about itself.
@@ -224,7 +224,7 @@
     event must not keep a stream alive either.
     """
     buffer = b""
-    heard_ms = clock.now_ms()
+    last_event_ms = clock.now_ms()
     async for chunk in chunks:
         buffer += chunk
         *lines, buffer = buffer.split(b"\n")
@@ -232,12 +232,12 @@
         for line in lines:
             if not line.startswith(EVENT_PREFIX):
                 continue
-            heard_ms = now_ms
+            last_event_ms = now_ms
             data = line[len(EVENT_PREFIX) :].strip()
-            if data == END_MARK:
+            if data == END_OF_STREAM:
                 return
             yield data
-        if idle_timeout_ms is not None and now_ms - heard_ms > idle_timeout_ms:
+        if idle_timeout_ms is not None and now_ms - last_event_ms > idle_timeout_ms:
             text = f"{upstream.name} sent no event for {idle_timeout_ms} ms."
             raise ServiceError(ErrorKind.UPSTREAM_TIMEOUT, text)
         if len(buffer) > MAX_EVENT_BYTES:
@@ -246,7 +246,7 @@
     raise ServiceError(ErrorKind.UPSTREAM_FAILED, text)
 
 
-def _piece(data, upstream):
+def _decode_chunk(data, upstream):
     event = _decode(data, _Event, upstream)
     if event.version is None or not event.choices:
         text = f"{upstream.name} states no weight version."
--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -27,16 +27,16 @@
 ENTRY_BYTES = 200
 # Sixty times what the store needs when it is well: an answer that is later is lost, or
 # the store is slow, which its reads have shown by then.
-MIN_PATIENCE_MS = 300
+MIN_RESPONSE_TIMEOUT_MS = 300
 # How often a store that gives no answers is asked again, so that the end of an outage
 # is noticed within this.
-MAX_PATIENCE_MS = 500
+MAX_RESPONSE_TIMEOUT_MS = 500
 # A store that turns calls away has a second's worth waiting; coming back sooner than in
 # a fraction of that keeps it full.
-MIN_TURNED_AWAY_MS = 100
-MAX_TURNED_AWAY_MS = 600
+MIN_REJECTION_PAUSE_MS = 100
+MAX_REJECTION_PAUSE_MS = 600
 # A transaction waits so many times as long as one call of it, the last one included.
-TIMEOUT_PATIENCES = 2
+TRANSACTION_TIMEOUT_FACTOR = 2
 # How long a call is kept after it was made again, as a late answer tells how slow the
 # store is.
 CALL_TIMEOUT_MS = 4000
@@ -57,51 +57,53 @@
     version: int
 
 
-class Refused(msgspec.Struct, frozen=True):
+class Rejected(msgspec.Struct, frozen=True):
     """The store has not made a transaction, as a check did not hold.
 
-    :param row_by_place: the rows that were checked, as they are, by table and key; a
+    :param row_by_key: the rows that were checked, as they are, by table and key; a
         row that does not exist is left out.
     """
 
-    row_by_place: dict[tuple[str, str], Row]
+    row_by_key: dict[tuple[str, str], Row]
 
 
-class _Waiting:
+class _PendingTransaction:
     """A transaction that has no answer yet.
 
     :ivar calls: how many calls that hold it are under way.
-    :ivar is_unsure: whether a call that held it ended without an answer.
+    :ivar has_unknown_outcome: whether a call that held it ended without an answer.
     """
 
     __slots__ = (
         "checks",
         "writes",
-        "places",
+        "row_keys",
         "size",
         "answer",
         "calls",
-        "is_unsure",
+        "has_unknown_outcome",
     )
 
     def __init__(self, checks, writes):
         self.checks = list(checks)
         self.writes = list(writes)
-        self.places = {(entry.table, entry.key) for entry in self.checks + self.writes}
+        self.row_keys = {
+            (entry.table, entry.key) for entry in self.checks + self.writes
+        }
         self.size = sum(len(write.value or b"") for write in self.writes)
         self.size += ENTRY_BYTES * self.entries
         self.answer = asyncio.get_running_loop().create_future()
         self.calls = 0
-        self.is_unsure = False
+        self.has_unknown_outcome = False
 
     @property
     def entries(self):
         return len(self.checks) + len(self.writes)
 
     @property
-    def may_have_landed(self):
+    def may_be_applied(self):
         """Whether it may have been made, or may yet be."""
-        return bool(self.calls) or self.is_unsure
+        return bool(self.calls) or self.has_unknown_outcome
 
 
 class GroupCommit:
@@ -116,7 +118,7 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param send: a coroutine function that takes checks, writes and a timeout in
         milliseconds, sends them once and returns :class:`Applied` or
-        :class:`Refused`; raises :class:`~goldcrestmoor.errors.ServiceError`,
+        :class:`Rejected`; raises :class:`~goldcrestmoor.errors.ServiceError`,
         ``OVERLOADED`` when the store turned the call away.
     :param timeout_ms: how long a transaction may take, in milliseconds; longer while
         the store's answers take longer.
@@ -130,7 +132,7 @@
         "_timeout",
         "_backoff",
         "_pause_ms",
-        "_waiting",
+        "_pending",
         "_is_sending",
         "_tasks",
     )
@@ -139,10 +141,12 @@
         self._clock = clock
         self._send = send
         self._timeout_ms = timeout_ms
-        self._timeout = AdaptiveTimeout(MIN_PATIENCE_MS, MAX_PATIENCE_MS, read_ms)
-        self._backoff = Backoff(MIN_TURNED_AWAY_MS, MAX_TURNED_AWAY_MS)
+        self._timeout = AdaptiveTimeout(
+            MIN_RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS, read_ms
+        )
+        self._backoff = Backoff(MIN_REJECTION_PAUSE_MS, MAX_REJECTION_PAUSE_MS)
         self._pause_ms = 0
-        self._waiting = []
+        self._pending = []
         self._is_sending = False
         self._tasks = TaskGroup()
 
@@ -157,25 +161,27 @@
         :raises ServiceError: as ``send`` does; ``OUTCOME_UNKNOWN`` when there was no
             answer in time.
         """
-        waiting = _Waiting(checks, writes)
-        self._waiting.append(waiting)
+        transaction = _PendingTransaction(checks, writes)
+        self._pending.append(transaction)
         self._start_sending()
-        timer = self._tasks.start(self._expire(waiting))
+        timer = self._tasks.start(self._expire(transaction))
         try:
-            return await waiting.answer
+            return await transaction.answer
         finally:
             timer.cancel()
 
-    async def _expire(self, waiting):
+    async def _expire(self, transaction):
         started_ms = self._clock.now_ms()
-        left_ms = self._timeout_ms
-        while left_ms > 0:
-            await self._clock.sleep_ms(left_ms)
+        remaining_ms = self._timeout_ms
+        while remaining_ms > 0:
+            await self._clock.sleep_ms(remaining_ms)
             # The store may have turned out to be slow meanwhile.
-            slow_ms = TIMEOUT_PATIENCES * self._timeout.wait_ms()
+            slow_ms = TRANSACTION_TIMEOUT_FACTOR * self._timeout.wait_ms()
             elapsed_ms = self._clock.now_ms() - started_ms
-            left_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
-        _fail(waiting, _kind(waiting), "The store gave no answer in time.")
+            remaining_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
+        _fail(
+            transaction, _error_kind(transaction), "The store gave no answer in time."
+        )
 
     def _start_sending(self):
         if not self._is_sending:
@@ -185,11 +191,11 @@
     async def _send_all(self):
         """Send what waits, one group after another, until nothing does."""
         try:
-            while self._waiting:
+            while self._pending:
                 await self._delay_batch()
-                group = self._take()
+                group = self._next_group()
                 if group:
-                    await self._send_patiently(group)
+                    await self._send_with_timeout(group)
         finally:
             self._is_sending = False
 
@@ -202,7 +208,7 @@
         if wait_ms:
             await self._clock.sleep_ms(wait_ms)
 
-    async def _send_patiently(self, group):
+    async def _send_with_timeout(self, group):
         """Send a group, and put it back after a while without an answer."""
         call = self._tasks.start(self._call(group))
         timer = self._tasks.start(self._clock.sleep_ms(self._timeout.wait_ms()))
@@ -210,17 +216,17 @@
         timer.cancel()
         if not call.done():
             self._timeout.record_timeout()
-            self._waiting = group + self._waiting
+            self._pending = group + self._pending
 
     async def _call(self, group):
-        for waiting in group:
-            waiting.calls += 1
+        for transaction in group:
+            transaction.calls += 1
         sent_ms = self._clock.now_ms()
         error = None
         try:
             answer = await self._send(
-                [check for waiting in group for check in waiting.checks],
-                [write for waiting in group for write in waiting.writes],
+                [check for transaction in group for check in transaction.checks],
+                [write for transaction in group for write in transaction.writes],
                 CALL_TIMEOUT_MS,
             )
             self._timeout.record_response(self._clock.now_ms() - sent_ms)
@@ -231,104 +237,104 @@
             log.exception("A transaction failed in this process.")
             text = "The transaction failed in this process."
             error = ServiceError(ErrorKind.OUTCOME_UNKNOWN, text)
-        for waiting in group:
-            waiting.calls -= 1
+        for transaction in group:
+            transaction.calls -= 1
         if error is None:
-            self._settle(group, answer)
+            self._resolve(group, answer)
         else:
-            self._note_error(group, error)
+            self._handle_error(group, error)
 
-    def _note_error(self, group, error):
+    def _handle_error(self, group, error):
         """Fail the transactions of a call that no other call holds, or send again."""
         if error.kind is ErrorKind.OUTCOME_UNKNOWN:
-            for waiting in group:
-                waiting.is_unsure = True
+            for transaction in group:
+                transaction.has_unknown_outcome = True
         if error.kind is ErrorKind.OVERLOADED:
             self._pause_ms = self._backoff.next_ms()
-            self._put_back(group)
+            self._requeue(group)
             return
-        for waiting in self._held_by_none(group):
-            _fail(waiting, _kind(waiting), error.message)
+        for transaction in self._without_calls(group):
+            _fail(transaction, _error_kind(transaction), error.message)
 
-    def _held_by_none(self, group):
+    def _without_calls(self, group):
         """Return the transactions that no other call holds, or is to hold."""
-        return [w for w in group if not w.calls and w not in self._waiting]
+        return [t for t in group if not t.calls and t not in self._pending]
 
-    def _put_back(self, group):
+    def _requeue(self, group):
         """Send transactions again, before what waits, unless a call holds them."""
-        self._waiting = self._held_by_none(group) + self._waiting
+        self._pending = self._without_calls(group) + self._pending
         self._start_sending()
 
-    def _take(self):
+    def _next_group(self):
         """Take the waiting transactions that fit together, in their order."""
-        group, rest, places, entries, size = [], [], set(), 0, 0
-        for waiting in self._waiting:
-            if waiting.answer.done():
+        group, rest, row_keys, entries, size = [], [], set(), 0, 0
+        for transaction in self._pending:
+            if transaction.answer.done():
                 # Its caller has gone.
                 continue
             fits = (
-                entries + waiting.entries <= MAX_ENTRIES
-                and size + waiting.size <= MAX_BYTES
-                and places.isdisjoint(waiting.places)
+                entries + transaction.entries <= MAX_ENTRIES
+                and size + transaction.size <= MAX_BYTES
+                and row_keys.isdisjoint(transaction.row_keys)
             )
             if group and not fits:
-                rest.append(waiting)
+                rest.append(transaction)
             else:
-                group.append(waiting)
-                entries += waiting.entries
-                size += waiting.size
+                group.append(transaction)
+                entries += transaction.entries
+                size += transaction.size
             # What waits for a row keeps its turn.
-            places |= waiting.places
-        self._waiting = rest
+            row_keys |= transaction.row_keys
+        self._pending = rest
         return group
 
-    def _settle(self, group, answer):
+    def _resolve(self, group, answer):
         match answer:
             case Applied(version):
-                for waiting in group:
-                    keys = (f"{w.table}/{w.key}" for w in waiting.writes)
-                    _succeed(waiting, Committed(dict.fromkeys(keys, version)))
-            case Refused(row_by_place):
-                self._settle_refused(group, row_by_place)
+                for transaction in group:
+                    keys = (f"{w.table}/{w.key}" for w in transaction.writes)
+                    _succeed(transaction, Committed(dict.fromkeys(keys, version)))
+            case Rejected(row_by_key):
+                self._resolve_rejected(group, row_by_key)
 
-    def _settle_refused(self, group, row_by_place):
+    def _resolve_rejected(self, group, row_by_key):
         """Refuse the transactions whose checks fail, and send the others again."""
-        again = []
-        for waiting in group:
-            failed = _failed_check(waiting.checks, row_by_place)
+        passing = []
+        for transaction in group:
+            failed = _failed_check(transaction.checks, row_by_key)
             if failed is None:
-                again.append(waiting)
+                passing.append(transaction)
             else:
-                _succeed(waiting, failed)
-        if len(again) < len(group):
-            self._put_back(again)
+                _succeed(transaction, failed)
+        if len(passing) < len(group):
+            self._requeue(passing)
             return
-        for waiting in again:
+        for transaction in passing:
             text = "The store refused a condition that holds."
-            _fail(waiting, ErrorKind.OUTCOME_UNKNOWN, text)
+            _fail(transaction, ErrorKind.OUTCOME_UNKNOWN, text)
 
 
-def _failed_check(checks, row_by_place):
+def _failed_check(checks, row_by_key):
     """Name the first check that does not hold, with the row as it is, or None."""
     for check in checks:
-        row = row_by_place.get((check.table, check.key))
+        row = row_by_key.get((check.table, check.key))
         if (row.version if row else 0) != check.version:
             return CheckFailed(row, check.table, check.key)
     return None
 
 
-def _kind(waiting):
+def _error_kind(transaction):
     """Return the kind of error of a transaction that has no answer."""
-    if waiting.may_have_landed:
+    if transaction.may_be_applied:
         return ErrorKind.OUTCOME_UNKNOWN
     return ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def _succeed(waiting, answer):
-    if not waiting.answer.done():
-        waiting.answer.set_result(answer)
+def _succeed(transaction, answer):
+    if not transaction.answer.done():
+        transaction.answer.set_result(answer)
 
 
-def _fail(waiting, kind, message):
-    if not waiting.answer.done():
-        waiting.answer.set_exception(ServiceError(kind, message))
+def _fail(transaction, kind, message):
+    if not transaction.answer.done():
+        transaction.answer.set_exception(ServiceError(kind, message))
--- a/goldcrestmoor/adapters/hosts.py
+++ b/goldcrestmoor/adapters/hosts.py
@@ -5,7 +5,11 @@
 import msgspec
 
 from goldcrestmoor.adapters import platform
-from goldcrestmoor.adapters.platform import STATUS_NOT_MODIFIED, STATUS_OK, Platform
+from goldcrestmoor.adapters.platform import (
+    STATUS_NOT_MODIFIED,
+    STATUS_OK,
+    PlatformClient,
+)
 
 
 class ListedKind(enum.StrEnum):
@@ -59,11 +63,11 @@
     :param metrics: where the bytes are counted, or None.
     """
 
-    __slots__ = ("_platform", "_tag", "_entries")
+    __slots__ = ("_platform", "_etag", "_entries")
 
     def __init__(self, *, clock, http, settings, metrics=None):
-        self._platform = Platform(http=http, settings=settings, metrics=metrics)
-        self._tag = None
+        self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
+        self._etag = None
         self._entries = ()
 
     async def fetch(self):
@@ -76,13 +80,13 @@
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         headers, statuses = (), (STATUS_OK,)
-        if self._tag is not None:
-            headers = ((b"if-none-match", self._tag),)
+        if self._etag is not None:
+            headers = ((b"if-none-match", self._etag),)
             statuses = (STATUS_OK, STATUS_NOT_MODIFIED)
         response = await self._platform.read("/hosts", statuses, headers)
         if response.status == STATUS_NOT_MODIFIED:
             return self._entries
         entries = platform.decode_read(response.body, _decoder).hosts
-        self._tag = dict(response.headers).get(b"etag")
-        self._entries = entries if self._tag is not None else ()
+        self._etag = dict(response.headers).get(b"etag")
+        self._entries = entries if self._etag is not None else ()
         return entries
--- a/goldcrestmoor/adapters/objects.py
+++ b/goldcrestmoor/adapters/objects.py
@@ -1,7 +1,7 @@
 """The platform's object store: whole byte strings by key."""
 
 from goldcrestmoor.adapters import platform
-from goldcrestmoor.adapters.platform import STATUS_NOT_FOUND, STATUS_OK, Platform
+from goldcrestmoor.adapters.platform import STATUS_NOT_FOUND, STATUS_OK, PlatformClient
 
 
 class ObjectClient:
@@ -16,7 +16,7 @@
     __slots__ = ("_platform",)
 
     def __init__(self, *, clock, http, settings, metrics=None):
-        self._platform = Platform(http=http, settings=settings, metrics=metrics)
+        self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
 
     async def put(self, key, data):
         """Store an object. Putting the same bytes again does no harm.
--- a/goldcrestmoor/adapters/platform.py
+++ b/goldcrestmoor/adapters/platform.py
@@ -15,19 +15,19 @@
 STATUS_CONFLICT = 409
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
-FIRST_LINES_BYTES = 64
+START_LINE_BYTES = 64
 HEADER_LINE_BYTES = 4
 
 _JSON_HEADERS = [(b"content-type", b"application/json")]
 
 
-class _NotWritten(msgspec.Struct):
+class _WriteStatus(msgspec.Struct):
     """The body of a 503 that states whether the write took effect."""
 
     written: bool
 
 
-class Platform:
+class PlatformClient:
     """One caller of the platform's services.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
@@ -82,7 +82,7 @@
         if response.status in statuses:
             return response
         message = f"The platform answered {response.status}."
-        if _states_not_written(response):
+        if _confirms_not_written(response):
             raise unavailable(message, retry_after_ms(response))
         raise outcome_unknown(message)
 
@@ -109,7 +109,7 @@
             return
         name = "platform " + target.split("/", 2)[1].partition("?")[0]
         size = sum(len(k) + len(v) + HEADER_LINE_BYTES for k, v in headers)
-        size += FIRST_LINES_BYTES + len(body)
+        size += START_LINE_BYTES + len(body)
         self._metrics.control_bytes.labels(name, direction).inc(size)
 
 
@@ -174,12 +174,12 @@
     return max(0, int((at - time.time()) * MS_PER_SECOND))
 
 
-def _states_not_written(response):
+def _confirms_not_written(response):
     if response.status == STATUS_TOO_MANY:
         return True
     if response.status != STATUS_UNAVAILABLE:
         return False
     try:
-        return not msgspec.json.decode(response.body, type=_NotWritten).written
+        return not msgspec.json.decode(response.body, type=_WriteStatus).written
     except msgspec.MsgspecError:
         return False
--- a/goldcrestmoor/adapters/table.py
+++ b/goldcrestmoor/adapters/table.py
@@ -9,7 +9,7 @@
     STATUS_CONFLICT,
     STATUS_NOT_FOUND,
     STATUS_OK,
-    Platform,
+    PlatformClient,
 )
 
 
@@ -129,7 +129,7 @@
     __slots__ = ("_platform",)
 
     def __init__(self, *, clock, http, settings, metrics=None):
-        self._platform = Platform(http=http, settings=settings, metrics=metrics)
+        self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
 
     async def get(self, table, key):
         """Return a row, or ``None``.
--- a/goldcrestmoor/adapters/weights.py
+++ b/goldcrestmoor/adapters/weights.py
@@ -5,10 +5,10 @@
     STATUS_NOT_FOUND,
     STATUS_OK,
     STATUS_TOO_MANY,
-    Platform,
+    PlatformClient,
 )
 
-WAIT_MS = 1000
+DEFAULT_RETRY_AFTER_MS = 1000
 
 
 class WeightStoreClient:
@@ -20,12 +20,12 @@
     :param metrics: where the bytes are counted, or None.
     """
 
-    __slots__ = ("_clock", "_platform", "_closed_until_ms")
+    __slots__ = ("_clock", "_platform", "_rate_limited_until_ms")
 
     def __init__(self, *, clock, http, settings, metrics=None):
         self._clock = clock
-        self._platform = Platform(http=http, settings=settings, metrics=metrics)
-        self._closed_until_ms = 0
+        self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
+        self._rate_limited_until_ms = 0
 
     async def exists(self, model, version):
         """Tell whether a model's weight version is stored.
@@ -36,7 +36,7 @@
         :param version: the weight version.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``, with when to come back.
         """
-        wait_ms = self._closed_until_ms - self._clock.now_ms()
+        wait_ms = self._rate_limited_until_ms - self._clock.now_ms()
         if wait_ms > 0:
             raise platform.unavailable("The weight store is closed to us.", wait_ms)
         response = await self._platform.read(
@@ -45,6 +45,6 @@
         )
         if response.status != STATUS_TOO_MANY:
             return response.status == STATUS_OK
-        wait_ms = platform.retry_after_ms(response) or WAIT_MS
-        self._closed_until_ms = self._clock.now_ms() + wait_ms
+        wait_ms = platform.retry_after_ms(response) or DEFAULT_RETRY_AFTER_MS
+        self._rate_limited_until_ms = self._clock.now_ms() + wait_ms
         raise platform.unavailable("The weight store's rate limit is met.", wait_ms)
--- a/goldcrestmoor/platform/callers.py
+++ b/goldcrestmoor/platform/callers.py
@@ -13,13 +13,13 @@
 READY_PATH = "/readiness"
 WAIT_HEADER = b"wait-ms"
 # The client's guess at the number of output tokens.
-LENGTH_HEADER = "length-hint"
+LENGTH_HINT_HEADER = "length-hint"
 # The longest that readers ask for.
 MAX_WAIT_MS = 1000
 # A page of results is at most 1 MB; the JSON around the texts needs some of it.
 MAX_PAGE_BYTES = 900_000
 _COMPLETED = "completed"
-_GIVEN_UP = "terminated"
+_TERMINATED = "terminated"
 
 
 class _Item(msgspec.Struct):
@@ -71,7 +71,7 @@
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
     """
-    return _number(dict(headers).get(DEADLINE_HEADER))
+    return _parse_number(dict(headers).get(DEADLINE_HEADER))
 
 
 def forwarded_headers(headers):
@@ -98,8 +98,8 @@
     value_by_name = {name: values[-1] for name, values in parse_qs(query).items()}
     match method, kind:
         case "GET", "lots":
-            after = _number(value_by_name.get("after", "0").encode()) or 0
-            wait_ms = _number(dict(headers).get(WAIT_HEADER)) or 0
+            after = _parse_number(value_by_name.get("after", "0").encode()) or 0
+            wait_ms = _parse_number(dict(headers).get(WAIT_HEADER)) or 0
             return ReadResults(job_id, after, min(wait_ms, MAX_WAIT_MS))
         case "GET", "items":
             return ReadItem(job_id, value_by_name.get("id", ""))
@@ -145,7 +145,7 @@
 
 def _decode_item(item):
     value_by_name = {name.lower(): value for name, value in item.headers.items()}
-    hint = value_by_name.get(LENGTH_HEADER, "")
+    hint = value_by_name.get(LENGTH_HINT_HEADER, "")
     return Item(
         item.id,
         item.path,
@@ -153,7 +153,7 @@
         item.body,
         item.tokens,
         item.group,
-        _number(hint.encode()) or 0,
+        _parse_number(hint.encode()) or 0,
     )
 
 
@@ -170,7 +170,7 @@
         [
             _Result(
                 result.id,
-                _COMPLETED if result.is_completed else _GIVEN_UP,
+                _COMPLETED if result.is_completed else _TERMINATED,
                 result.text,
                 list(result.versions),
             )
@@ -190,5 +190,5 @@
     return [(b"Retry-After", f"{after_ms / 1000:.3f}".encode())]
 
 
-def _number(value):
+def _parse_number(value):
     return int(value[:9]) if value is not None and value.isdigit() else None
--- a/goldcrestmoor/platform/records.py
+++ b/goldcrestmoor/platform/records.py
@@ -77,7 +77,7 @@
     limits: _Limits
 
 
-class _Loaded(msgspec.Struct):
+class _LoadedModel(msgspec.Struct):
     name: str
     # Of the weights; the entry's own field of this name is the software's.
     version: int
@@ -90,19 +90,19 @@
     state: str
     slots: int
     cold_left_ms: float = 0
-    models: list[_Loaded] = []
+    models: list[_LoadedModel] = []
     # Unix milliseconds of the server's start: tells two incarnations apart.
     born: int | None = None
 
 
-class _NamedVersion(msgspec.Struct):
+class _TargetVersion(msgspec.Struct):
     model: str
     version: int
 
 
 _configuration_decoder = msgspec.json.Decoder(_Configuration)
 _server_decoder = msgspec.json.Decoder(_Server)
-_version_decoder = msgspec.json.Decoder(_NamedVersion)
+_version_decoder = msgspec.json.Decoder(_TargetVersion)
 
 
 def decode_configuration(value):
@@ -161,8 +161,8 @@
     :param value: the row's bytes.
     :raises ValueError: when they name none.
     """
-    named = _version_decoder.decode(value)
-    return named.model, named.version
+    target = _version_decoder.decode(value)
+    return target.model, target.version
 
 
 def _decode_route(route):
@@ -178,7 +178,7 @@
         host=route.hostname.lower(),
         path_prefix=route.path_prefix,
         kind=kind,
-        retry_policy=_repeat(route),
+        retry_policy=_retry_policy(route),
         shares=tuple(ServiceShare(b.service, b.weight) for b in backends),
         timeout_ms=int(route.timeout_ms),
         target_ms=int(route.target_latency_ms),
@@ -188,7 +188,7 @@
     )
 
 
-def _repeat(route):
+def _retry_policy(route):
     match route.route_type:
         case "safe":
             return RetryPolicy.IDEMPOTENT
--- a/goldcrestmoor/platform/servers.py
+++ b/goldcrestmoor/platform/servers.py
@@ -13,7 +13,7 @@
 STATUS_OK = 200
 STATUS_ACCEPTED = 202
 STATUS_CONFLICT = 409
-STATUS_OLD_FENCE = 412
+STATUS_STALE_FENCING_NUMBER = 412
 STATUS_MISDIRECTED = 421
 SUCCESSES = range(200, 300)
 
@@ -28,7 +28,7 @@
 EVENT_FIELDS = EventFields(version="weight-versions")
 
 # Set anew for each server, whatever the caller sent.
-_OWN_HEADERS = frozenset((INSTANCE_HEADER, DEADLINE_HEADER, b"content-length"))
+_REPLACED_HEADERS = frozenset((INSTANCE_HEADER, DEADLINE_HEADER, b"content-length"))
 _JSON = [(b"content-type", b"application/json")]
 # A report needs no slot and comes within a round trip.
 REPORT_TIMEOUT_MS = 500
@@ -36,13 +36,13 @@
 ORDER_TIMEOUT_MS = 1500
 
 
-class _Loaded(msgspec.Struct):
+class _LoadedModel(msgspec.Struct):
     name: str
     version: int
 
 
 class _Report(msgspec.Struct):
-    models: list[_Loaded]
+    models: list[_LoadedModel]
     # Whether an order is being carried out.
     busy: bool = False
     # How many orders this incarnation has accepted, unlike the list's own counter.
@@ -70,7 +70,7 @@
     :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
     :param remaining_ms: how long the answer is of use; None where that is open.
     """
-    pairs = [pair for pair in headers if pair[0] not in _OWN_HEADERS]
+    pairs = [pair for pair in headers if pair[0] not in _REPLACED_HEADERS]
     pairs.append((INSTANCE_HEADER, upstream.name.encode()))
     if remaining_ms is not None:
         pairs.append((DEADLINE_HEADER, str(max(1, int(remaining_ms))).encode()))
@@ -161,7 +161,7 @@
             upstream, "GET", "/report", headers, b"", REPORT_TIMEOUT_MS
         )
         if response.status != STATUS_OK:
-            raise _unexpected(upstream, response.status)
+            raise _unexpected_status(upstream, response.status)
         try:
             report = _report_decoder.decode(response.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as e:
@@ -197,7 +197,7 @@
             case 400 | 409 | 412 | 421 | 503:
                 return OrderRefused(f"answered {response.status}")
             case status:
-                raise _unexpected(upstream, status)
+                raise _unexpected_status(upstream, status)
 
     async def _send(self, upstream, method, target, headers, body, timeout_ms):
         return await self._http.request(
@@ -213,6 +213,6 @@
         )
 
 
-def _unexpected(upstream, status):
+def _unexpected_status(upstream, status):
     text = f"{upstream.name} answered {status}."
     return ServiceError(ErrorKind.UPSTREAM_FAILED, text)
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from goldcrestmoor.adapters.group_commit import Applied, GroupCommit, Refused
+from goldcrestmoor.adapters.group_commit import Applied, GroupCommit, Rejected
 from goldcrestmoor.adapters.table import Change, Changes, HistoryTruncated, Row
 from goldcrestmoor.connection.adaptive_timeout import ResponseTimes
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
@@ -20,9 +20,9 @@
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
 # Added to a feed's own wait before its connection counts as silent.
-FEED_SLACK_MS = 700
+FEED_MARGIN_MS = 700
 # A hundred times what the store needs for an answer when it is well.
-PROBE_MS = 400
+PROBE_TIMEOUT_MS = 400
 # All rows lie in the empty part. Parts of the store fail one by one, and with one
 # part there is one that matters; its 200 transactions a second are enough.
 PART = ""
@@ -94,36 +94,36 @@
         "_clock",
         "_http",
         "_target",
-        "_detour",
+        "_relay",
         "_timeout_ms",
         "_metrics",
         "_commits",
-        "_answer_times",
-        "_ahead_ms",
-        "_refused_ms",
+        "_response_times",
+        "_clock_offset_ms",
+        "_rejected_at_ms",
     )
 
     def __init__(self, *, clock, http, address, port, timeout_ms, metrics):
         self._clock = clock
         self._http = http
         self._target = (address, port)
-        self._detour = None
+        self._relay = None
         self._timeout_ms = timeout_ms
         self._metrics = metrics
-        self._answer_times = ResponseTimes()
+        self._response_times = ResponseTimes()
         self._commits = GroupCommit(
             clock=clock,
             send=self._commit,
             timeout_ms=timeout_ms,
             read_ms=self.latency_ms,
         )
-        self._ahead_ms = None
-        self._refused_ms = None
+        self._clock_offset_ms = None
+        self._rejected_at_ms = None
 
     @property
     def is_relayed(self):
         """Whether calls go to a host that passes them on."""
-        return self._detour is not None
+        return self._relay is not None
 
     def use_relay(self, address, port, prefix):
         """Send calls to a host that passes them on, from now on.
@@ -132,28 +132,31 @@
         :param port: its TCP port.
         :param prefix: what it expects before the path of a call.
         """
-        self._detour = (address, port, prefix)
+        self._relay = (address, port, prefix)
 
     def rejection_age_ms(self):
         """Return the time since the store last turned a call away, or None."""
-        if self._refused_ms is None:
+        if self._rejected_at_ms is None:
             return None
-        return self._clock.now_ms() - self._refused_ms
+        return self._clock.now_ms() - self._rejected_at_ms
 
     def latency_ms(self):
         """Return how long the store takes for an answer at present, in milliseconds."""
-        return self._answer_times.typical_ms()
+        return self._response_times.typical_ms()
 
     async def probe_direct(self):
         """Ask the store without a detour, and take none any more if it answers."""
         try:
             await self._http.request(
-                *self._target, "GET", "/rows-parts?table=op", timeout_ms=PROBE_MS
+                *self._target,
+                "GET",
+                "/rows-parts?table=op",
+                timeout_ms=PROBE_TIMEOUT_MS,
             )
         except ServiceError as e:
             log.debug("The store is still not reached from here: %s", e)
             return
-        self._detour = None
+        self._relay = None
 
     async def relay(self, method, target, headers, body, timeout_ms):
         """Send another host's call to the store, once, and return the answer.
@@ -168,9 +171,9 @@
 
     def now_ms(self):
         """Return the store's steady clock as last heard, or None before that."""
-        if self._ahead_ms is None:
+        if self._clock_offset_ms is None:
             return None
-        return self._clock.now_ms() + self._ahead_ms
+        return self._clock.now_ms() + self._clock_offset_ms
 
     async def get(self, table, key):
         """Return a row, or ``None``.
@@ -217,11 +220,11 @@
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         query = _query(table=table, after=after, waitMs=wait_ms)
-        asked_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         response = await self._send(
-            "feed", "GET", f"/rows-feed?{query}", timeout_ms=wait_ms + FEED_SLACK_MS
+            "feed", "GET", f"/rows-feed?{query}", timeout_ms=wait_ms + FEED_MARGIN_MS
         )
-        self._answer_times.record(self._clock.now_ms() - asked_ms, wait_ms)
+        self._response_times.record(self._clock.now_ms() - started_ms, wait_ms)
         if response.status == STATUS_GONE:
             return HistoryTruncated()
         answer = self._decode(response, _answer_decoder, ErrorKind.PLATFORM_UNAVAILABLE)
@@ -245,7 +248,7 @@
         return await self._commits.transact(checks, writes)
 
     async def _commit(self, checks, writes, timeout_ms):
-        """Send one transaction; return :class:`Applied` or :class:`Refused`."""
+        """Send one transaction; return :class:`Applied` or :class:`Rejected`."""
         body = msgspec.json.encode(
             _Transaction(
                 [_Expected(c.table, PART, c.key, c.version) for c in checks],
@@ -266,7 +269,7 @@
         _check_written(response)
         answer = self._decode(response, _answer_decoder, ErrorKind.OUTCOME_UNKNOWN)
         if response.status == STATUS_CHECK_FAILED:
-            return Refused({(row.table, row.key): _row(row) for row in answer.rows})
+            return Rejected({(row.table, row.key): _row(row) for row in answer.rows})
         return Applied(answer.ver)
 
     async def put(self, key, data):
@@ -317,8 +320,8 @@
             )
             answer = await self._read("scan", f"/rows-get?{query}", _answer_decoder)
             # A page begins with the last row of the one before it.
-            seen = rows[-1].key if rows else None
-            new = [row for row in answer.rows if row.key != seen]
+            last_key = rows[-1].key if rows else None
+            new = [row for row in answer.rows if row.key != last_key]
             rows += [_row(row) for row in new]
             version = answer.ver if version is None else version
             has_more = answer.hasMore and bool(new) and max_rows is None
@@ -329,15 +332,15 @@
         response = await self._send(call, "GET", target)
         return self._decode(response, decoder, ErrorKind.PLATFORM_UNAVAILABLE)
 
-    async def _write(self, call, method, target, body, headers, also=()):
+    async def _write(self, call, method, target, body, headers, extra_statuses=()):
         response = await self._send(call, method, target, body, headers)
-        if response.status not in also:
+        if response.status not in extra_statuses:
             _check_written(response)
 
     async def _send(self, call, method, target, body=b"", headers=(), timeout_ms=None):
         address, port = self._target
-        if self._detour is not None:
-            address, port, prefix = self._detour
+        if self._relay is not None:
+            address, port, prefix = self._relay
             target = prefix + target
         try:
             response = await self._http.request(
@@ -357,9 +360,9 @@
             text = f"A write to the store was not answered: {e.message}"
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, text) from e
         self._metrics.store_calls.labels(call, str(response.status)).inc()
-        is_refused = response.status in (STATUS_TOO_MANY, STATUS_UNAVAILABLE)
-        if is_refused and self._detour is None:
-            self._refused_ms = self._clock.now_ms()
+        is_rejected = response.status in (STATUS_TOO_MANY, STATUS_UNAVAILABLE)
+        if is_rejected and self._relay is None:
+            self._rejected_at_ms = self._clock.now_ms()
         return response
 
     def _decode(self, response, decoder, kind):
@@ -370,7 +373,7 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as e:
             raise ServiceError(kind, "The store's answer is malformed.") from e
         if isinstance(answer, _Answer) and answer.nowMs:
-            self._ahead_ms = answer.nowMs - self._clock.now_ms()
+            self._clock_offset_ms = answer.nowMs - self._clock.now_ms()
         return answer
 
 
--- a/test/_table.py
+++ b/test/_table.py
@@ -1,6 +1,6 @@
 """A table service in memory, with outages and lost answers."""
 
-from goldcrestmoor.adapters import table as seam
+from goldcrestmoor.adapters import table as table_service
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
 
@@ -22,15 +22,15 @@
         for check in checks:
             row = self.rows_by_name.get((check.table, check.key))
             if (row.version if row else 0) != check.version:
-                return seam.CheckFailed(row, check.table, check.key)
+                return table_service.CheckFailed(row, check.table, check.key)
         versions = {}
         for write in writes:
             name = (write.table, write.key)
             old = self.rows_by_name.get(name)
             version = (old.version if old else 0) + 1
-            self.rows_by_name[name] = seam.Row(write.key, version, write.value)
+            self.rows_by_name[name] = table_service.Row(write.key, version, write.value)
             versions[f"{write.table}/{write.key}"] = version
-        return seam.Committed(versions)
+        return table_service.Committed(versions)
 
 
 class FakeTableClient:
--- a/test/test_group_commit.py
+++ b/test/test_group_commit.py
@@ -5,11 +5,11 @@
 
 from goldcrestmoor.adapters.group_commit import (
     MAX_ENTRIES,
-    MAX_PATIENCE_MS,
-    MIN_PATIENCE_MS,
+    MAX_RESPONSE_TIMEOUT_MS,
+    MIN_RESPONSE_TIMEOUT_MS,
     Applied,
     GroupCommit,
-    Refused,
+    Rejected,
 )
 from goldcrestmoor.adapters.table import Check, CheckFailed, Committed, Row, Write
 from goldcrestmoor.errors import ErrorKind, ServiceError
@@ -21,7 +21,7 @@
 SLOW_MS = 300
 TIMEOUT_MS = 1500
 # The store turns calls away once so much is waiting.
-MOST_WAITING_MS = 1000
+MAX_QUEUED_MS = 1000
 
 
 class SerialStore:
@@ -31,9 +31,9 @@
         self.clock = clock
         self.duration_ms = duration_ms
         self.version = 0
-        self.row_by_place = {}
+        self.row_by_key = {}
         self.sent = []
-        self.refused = 0
+        self.rejected = 0
         self.free_ms = clock.now_ms()
         self.is_silent = False
         self.loses_answers = False
@@ -57,22 +57,22 @@
 
     async def make(self, checks, writes):
         now_ms = self.clock.now_ms()
-        waiting_ms = max(0, self.free_ms - now_ms)
-        if waiting_ms > MOST_WAITING_MS:
-            self.refused += 1
+        queued_ms = max(0, self.free_ms - now_ms)
+        if queued_ms > MAX_QUEUED_MS:
+            self.rejected += 1
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, "answered 429")
-        self.free_ms = now_ms + waiting_ms + self.duration_ms
+        self.free_ms = now_ms + queued_ms + self.duration_ms
         await self.clock.sleep_ms(self.free_ms - now_ms)
         for check in checks:
-            row = self.row_by_place.get((check.table, check.key))
+            row = self.row_by_key.get((check.table, check.key))
             if (row.version if row else 0) != check.version:
-                places = {(c.table, c.key) for c in checks}
-                found = self.row_by_place.items()
-                return Refused({p: row for p, row in found if p in places})
+                row_keys = {(c.table, c.key) for c in checks}
+                found = self.row_by_key.items()
+                return Rejected({p: row for p, row in found if p in row_keys})
         self.version += 1
         for write in writes:
             row = Row(write.key, self.version, write.value)
-            self.row_by_place[write.table, write.key] = row
+            self.row_by_key[write.table, write.key] = row
         return Applied(self.version)
 
 
@@ -125,11 +125,11 @@
                 tasks.append(asyncio.ensure_future(write_for_good(commits, key)))
         # Some of the first calls are made twice, until answers tell of a slow store.
         await self.clock.advance(3_000)
-        refused, before = self.store.refused, dict(done)
+        rejected, before = self.store.rejected, dict(done)
         await self.clock.advance(9_000)
         for task in tasks:
             task.cancel()
-        self.assertEqual(self.store.refused, refused)
+        self.assertEqual(self.store.rejected, rejected)
         # Thirty transactions of the store, of which each writer is in every third.
         progress = [done[key] - before[key] for key in done]
         self.assertGreaterEqual(min(progress), 8)
@@ -161,8 +161,8 @@
         tasks = [self.begin("x"), self.begin("a", version=7), self.begin("b")]
         await self.clock.advance(4 * SLOW_MS)
         self.assertIsInstance(await tasks[0], Committed)
-        refused = await tasks[1]
-        self.assertEqual(refused, CheckFailed(Row("a", 1, b"v"), "t", "a"))
+        rejected = await tasks[1]
+        self.assertEqual(rejected, CheckFailed(Row("a", 1, b"v"), "t", "a"))
         self.assertIsInstance(await tasks[2], Committed)
 
     async def test_two_writes_of_one_row_are_never_sent_as_one(self):
@@ -170,8 +170,8 @@
         self.store.duration_ms = BUSY_MS
         tasks = [self.begin("a"), self.begin("a"), self.begin("b")]
         await self.clock.advance(4 * SLOW_MS)
-        places = [[write.key for write in writes] for _, writes in self.store.sent]
-        self.assertEqual(places, [["a", "b"], ["a"]])
+        row_keys = [[write.key for write in writes] for _, writes in self.store.sent]
+        self.assertEqual(row_keys, [["a", "b"], ["a"]])
         self.assertIsInstance(await tasks[0], Committed)
         self.assertIsInstance(await tasks[1], CheckFailed)
 
@@ -189,7 +189,7 @@
         await settle()
         self.store.is_silent = False
         other = self.begin("b")
-        await self.clock.advance(MIN_PATIENCE_MS + 100)
+        await self.clock.advance(MIN_RESPONSE_TIMEOUT_MS + 100)
         self.assertTrue(lost.done() and other.done())
         self.assertEqual(await lost, Committed({"t/a": 1}))
         self.assertEqual(await other, Committed({"t/b": 1}))
@@ -202,7 +202,7 @@
         await self.clock.advance(50)
         self.store.loses_answers = False
         other = self.begin("b")
-        await self.clock.advance(MIN_PATIENCE_MS + 200)
+        await self.clock.advance(MIN_RESPONSE_TIMEOUT_MS + 200)
         self.assertTrue(lost.done() and other.done())
         self.assertEqual(await lost, CheckFailed(Row("a", 1, b"v"), "t", "a"))
         self.assertIsInstance(await other, Committed)
@@ -222,9 +222,9 @@
         self.store.duration_ms = 5
         self.store.is_silent = True
         task = self.begin("a")
-        await self.clock.advance(TIMEOUT_MS - MAX_PATIENCE_MS - 100)
+        await self.clock.advance(TIMEOUT_MS - MAX_RESPONSE_TIMEOUT_MS - 100)
         self.store.is_silent = False
-        await self.clock.advance(MAX_PATIENCE_MS)
+        await self.clock.advance(MAX_RESPONSE_TIMEOUT_MS)
         self.assertTrue(task.done())
         self.assertIsInstance(await task, Committed)
 
@@ -236,8 +236,8 @@
         await settle()
         gone.cancel()
         await self.clock.advance(3 * SLOW_MS)
-        places = [[write.key for write in writes] for _, writes in self.store.sent]
-        self.assertEqual(places, [["a"], ["c"]])
+        row_keys = [[write.key for write in writes] for _, writes in self.store.sent]
+        self.assertEqual(row_keys, [["a"], ["c"]])
         self.assertTrue(first.done() and third.done())
 
     async def test_a_fault_in_this_process_leaves_nobody_waiting(self):
@@ -246,7 +246,7 @@
             await self.begin("a")
 
     async def test_all_of_a_group_hear_of_its_failure(self):
-        self.store.free_ms += 2 * MOST_WAITING_MS
+        self.store.free_ms += 2 * MAX_QUEUED_MS
         for task in [self.begin("a"), self.begin("b"), self.begin("c")]:
             with self.assertRaises(ServiceError) as caught:
                 await task
