--- a/goldcrestmoor/connection/__init__.py
+++ b/goldcrestmoor/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection or one peer."""
+"""HTTP connections to upstreams, links to peers, and their health state."""
--- a/goldcrestmoor/connection/adaptive_timeout.py
+++ b/goldcrestmoor/connection/adaptive_timeout.py
@@ -1,30 +1,30 @@
-"""How long answers take, and how long one is waited for before it is asked again.
+"""Response latencies, and timeouts of calls that adapt to them.
 
-The load this answers: a store that answers within ten milliseconds loses answers, and
-each one that is waited for holds up its caller; then it is sixty times slower, and a
-wait that is too short makes it do everything twice.
+Workload: a store that responds within ten milliseconds loses some responses, and each
+call that waits for a lost one delays its caller. Later the store is sixty times slower,
+and a timeout that is too short makes it do all work twice.
 """
 
 import collections
 
-# Answers of some tenths of a second, from which the present is told.
+# Responses of a few tenths of a second, from which the current latency is estimated.
 MAX_RESPONSES = 4
-# Twice the longest of the last answers is no ordinary one any more.
+# A response that takes twice the recent peak latency is considered lost.
 MARGIN_FACTOR = 2
-# A call that takes its turn behind others' may take eight times as long as one that
-# waits for nobody: a second at a store whose reads take a quarter of one.
+# A call that queues behind others may take eight times as long as one that does not:
+# the queue is a second long at a store whose reads take a quarter of a second.
 QUEUEING_FACTOR = 8
-# What is known of the longest answer fades by a fifth with each further one.
+# The peak latency decays by a fifth with each further response.
 DECAY_FACTOR = 0.8
 
 
 class AdaptiveTimeout:
-    """The wait for the next answer, from how long the last ones took.
+    """The timeout of the next call, computed from recent latencies.
 
-    :param min_ms: the shortest wait, in milliseconds.
-    :param max_ms: the longest wait for a store that gives no answers at all.
-    :param other_latency_ms: gives how long other calls currently take, in ms.
-    :ivar peak_latency_ms: the longest of the last answers took about so long.
+    :param min_ms: the shortest timeout, in milliseconds.
+    :param max_ms: the longest timeout for a store that does not respond at all.
+    :param other_latency_ms: returns the current latency of other calls, in ms.
+    :ivar peak_latency_ms: the decaying maximum of recent latencies.
     """
 
     __slots__ = (
@@ -43,27 +43,27 @@
         self._timeouts = 0
 
     def wait_ms(self):
-        """Return how long to wait, in milliseconds."""
+        """Return the timeout of the next call, in milliseconds."""
         backoff_ms = min(self._min_ms << self._timeouts, self._max_ms)
         expected_ms = int(self.peak_latency_ms * MARGIN_FACTOR)
         return max(backoff_ms, expected_ms, self._other_latency_ms() * QUEUEING_FACTOR)
 
     def record_response(self, elapsed_ms):
-        """Take in how long an answer took, however late it came.
+        """Record the latency of a response, even one after its timeout.
 
-        :param elapsed_ms: the time, in milliseconds.
+        :param elapsed_ms: the latency, in milliseconds.
         """
         self.peak_latency_ms = max(elapsed_ms, self.peak_latency_ms * DECAY_FACTOR)
         self._timeouts = 0
 
     def record_timeout(self):
-        """Take in that no answer came in time: wait twice as long for the next."""
+        """Record a timeout, which doubles the next one up to the maximum."""
         if self._min_ms << self._timeouts < self._max_ms:
             self._timeouts += 1
 
 
 class ResponseTimes:
-    """How long answers take at present, from calls of which some wait for news."""
+    """The current latency of responses, from calls of which some are long polls."""
 
     __slots__ = ("_latencies_ms",)
 
@@ -71,15 +71,16 @@
         self._latencies_ms = collections.deque(maxlen=MAX_RESPONSES)
 
     def record(self, elapsed_ms, wait_ms):
-        """Take in an answer.
+        """Record a response.
 
         :param elapsed_ms: the time since the call, in milliseconds.
-        :param wait_ms: how long it was to wait for news at most.
+        :param wait_ms: the longest time that the server waits for an update.
         """
-        # One that came sooner had news, and waited for it for some time or not at all.
+        # A response that came sooner carries an update, for which the server waited an
+        # unknown part of this time.
         waited_ms = wait_ms if elapsed_ms >= wait_ms else 0
         self._latencies_ms.append(elapsed_ms - waited_ms)
 
     def typical_ms(self):
-        """Return the least of the last answers, in milliseconds; 0 before the first."""
+        """Return the lowest recent latency, in milliseconds; 0 before the first."""
         return min(self._latencies_ms, default=0)
--- a/goldcrestmoor/connection/frames.py
+++ b/goldcrestmoor/connection/frames.py
@@ -14,12 +14,12 @@
 
 
 class Headers(msgspec.Struct, frozen=True, array_like=True):
-    """What travels beside each message.
+    """The metadata sent with each message.
 
     :param sender: the sending host's name.
-    :param incarnation: the sending process, as random hexadecimal digits.
+    :param incarnation: the sending process, identified by random hexadecimal digits.
     :param traceparent: the W3C trace context, or an empty string.
-    :param deadline_ms: the time that the sender still waits, in milliseconds.
+    :param deadline_ms: the remaining time that the sender waits, in milliseconds.
     """
 
     sender: str
@@ -29,7 +29,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """One received message with what travelled beside it."""
+    """One received message with its metadata."""
 
     kind: bytes
     call_id: bytes
@@ -54,7 +54,7 @@
 
 
 def decode(parts):
-    """Return the envelope that frames hold.
+    """Return the envelope that the frames encode.
 
     :param parts: the frames as byte strings, without the routing identity.
     :raises ServiceError: ``BAD_REQUEST`` when they are malformed.
@@ -73,7 +73,7 @@
 
 
 def size(parts):
-    """Return how many bytes the frames hold.
+    """Return the total size of the frames in bytes.
 
     :param parts: the frames.
     """
--- a/goldcrestmoor/connection/health.py
+++ b/goldcrestmoor/connection/health.py
@@ -1,4 +1,4 @@
-"""Which upstreams are fit for use, judged from what requests to them met."""
+"""Outlier detection: ejects upstreams by the outcomes and latencies of requests."""
 
 import collections
 import logging
@@ -7,30 +7,31 @@
 
 log = logging.getLogger("goldcrestmoor.health")
 
-# Bounds the memory; several times the 700 servers of a large fleet.
+# Limits memory; several times the 700 servers of a large fleet.
 MAX_UPSTREAMS = 4096
-# One or two lost answers are a link's; three in a row are the upstream's.
+# One or two lost responses may be due to the network; three in a row are due to the
+# upstream.
 EJECTION_FAILURES = 3
 # A restart takes about a second.
 MIN_EJECTION_MS = 1_000
-# An upstream that stays away is tried once a minute.
+# An upstream that stays unavailable is probed once a minute.
 MAX_EJECTION_MS = 60_000
 
-# A probe whose outcome is never recorded does not hold up the next one for good.
+# A probe whose outcome is never recorded blocks the next one only for this long.
 PROBE_TIMEOUT_MS = 30_000
 
-# Latencies are compared this often, as it costs time with each upstream of a pool.
+# Latencies are compared no more often, as the cost grows with the size of the pool.
 COMPARISON_INTERVAL_MS = 500
-# Latency that differs by less comes from the requests, not from the upstream.
+# Smaller differences in latency come from the requests, not from the upstream.
 SLOW_FACTOR = 4
-# Among answers of a few milliseconds a factor alone says nothing.
+# At latencies of a few milliseconds, a factor alone is not significant.
 SLOW_MARGIN_MS = 50
-# Enough for a median that one odd answer doesn't move.
+# Enough for a median that a single outlier does not move.
 MAX_LATENCIES = 20
-# Fewer give no median to compare.
+# With fewer samples, no median is computed.
 MIN_LATENCIES = 8
 
-# At most one upstream in so many is kept out of a pool, but one of two may be.
+# At most one in so many upstreams of a pool is excluded, but one of two may be.
 UPSTREAMS_PER_EJECTION = 3
 
 
@@ -69,7 +70,7 @@
 
 
 class UpstreamHealth:
-    """Take failing and slow upstreams out for a while, and try them again.
+    """Ejects failing and slow upstreams for a time, then probes them.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     """
@@ -82,13 +83,13 @@
         self._ejected = set()
 
     def record(self, upstream, ok, latency_ms=None):
-        """Note what a request met.
+        """Record the outcome of a request.
 
         :param upstream: the upstream's name.
-        :param ok: whether the upstream answered; a connection failure or a timeout
-            is not ok, an answer with an error status is.
-        :param latency_ms: how long it took, for a like amount of work, such as the
-            time to the first token; ``None`` when it says nothing.
+        :param ok: whether the upstream responded; a connection failure or a timeout
+            is not ok, a response with an error status is.
+        :param latency_ms: the latency of a comparable amount of work, such as the
+            time to the first token; ``None`` when it is not comparable.
         """
         state = self._state(upstream)
         state.probe_until_ms = 0
@@ -105,7 +106,7 @@
         state.failures += 1
         is_ejected = state.ejected_until_ms is not None
         if is_ejected and self._clock.now_ms() < state.ejected_until_ms:
-            # It was sent before the upstream went out and says nothing new.
+            # The request was sent before the ejection and carries no new information.
             return
         if is_ejected or state.failures >= EJECTION_FAILURES:
             reason = f"{state.failures} failures in a row"
@@ -117,7 +118,7 @@
             if self._clock.now_ms() >= state.ejected_until_ms:
                 self._eject(upstream, state, state.reason)
             return
-        log.info("%s is back in use.", upstream)
+        log.info("%s is reinstated.", upstream)
         self._ejected.discard(upstream)
         state.ejected_until_ms = None
         state.max_latency_ms = None
@@ -132,13 +133,13 @@
         state.reason = reason
         state.clear_latencies()
         self._ejected.add(upstream)
-        log.warning("%s is out for %d ms: %s.", upstream, duration_ms, reason)
+        log.warning("%s is ejected for %d ms: %s.", upstream, duration_ms, reason)
 
     def usable(self, upstream_names):
-        """Return the upstreams of a pool that are fit for use.
+        """Return the upstreams of a pool that are not ejected.
 
-        However many fail, only a bounded part of the pool is left out, so that the
-        rest is not buried under the work of all.
+        However many fail, only a bounded part of the pool is excluded, so that the
+        remaining upstreams are not overloaded.
 
         :param upstream_names: the names of the pool's upstreams.
         :return: a list of names, in the order given.
@@ -187,9 +188,9 @@
             self._eject(slowest_name, self._state_by_upstream[slowest_name], reason)
 
     def try_probe(self, upstream):
-        """Take the right to send one request to an upstream that is out.
+        """Acquire the permission to send one probe to an ejected upstream.
 
-        The request's outcome goes to :meth:`record`.
+        The outcome of the probe goes to :meth:`record`.
 
         :param upstream: the upstream's name.
         :return: whether this caller may send it.
@@ -204,7 +205,7 @@
         return True
 
     def reason(self, upstream):
-        """Return why an upstream is out, or an empty string.
+        """Return why an upstream is ejected, or an empty string.
 
         :param upstream: the upstream's name.
         """
@@ -212,7 +213,7 @@
         if state is None or state.ejected_until_ms is None:
             return ""
         wait_ms = max(0, state.ejected_until_ms - self._clock.now_ms())
-        return f"{state.reason}; tried again in {wait_ms} ms"
+        return f"{state.reason}; next probe in {wait_ms} ms"
 
     def _severity(self, name):
         state = self._state_by_upstream[name]
--- a/goldcrestmoor/connection/http_client.py
+++ b/goldcrestmoor/connection/http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 client towards upstreams and the platform; it never resends."""
+"""The HTTP/1.1 client for upstreams and the platform; it never retries."""
 
 import contextlib
 
@@ -10,7 +10,7 @@
 from goldcrestmoor.connection.http_pool import HttpPool
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
-# These belong to one connection and are never passed on.
+# Hop-by-hop headers, which are never forwarded.
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -24,19 +24,19 @@
         b"upgrade",
     )
 )
-# The client frames requests itself, and does not wait to be told to go on.
+# The client frames requests itself and never waits for 100 Continue.
 _FRAMING_HEADERS = frozenset((b"content-length", b"expect"))
 _BODILESS_METHODS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS", "TRACE"))
 _BODILESS_STATUSES = frozenset((204, 304))
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete response.
 
     :param status: the HTTP status.
     :param headers: ``(name, value)`` byte pairs, names in lower case, without
-        those that belong to the connection.
-    :param body: the whole body.
+        hop-by-hop headers.
+    :param body: the complete body.
     """
 
     status: int
@@ -45,7 +45,7 @@
 
 
 class HttpClient:
-    """Send requests over pooled connections, each at most once.
+    """Sends requests over pooled connections, each at most once.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param limits: the :class:`~goldcrestmoor.settings.LimitSettings`.
@@ -72,11 +72,11 @@
         on_head=None,
         **options,
     ):
-        """Send a request once and return its whole answer.
+        """Send a request once and return its complete response.
 
         The parameters and errors are those of :meth:`stream`, and:
 
-        :param on_head: called with the status and headers once they are known.
+        :param on_head: called with the status and headers once they are received.
         :return: an :class:`HttpResponse`.
         :raises ServiceError: also ``UPSTREAM_FAILED`` when the body is longer than
             ``max_body_bytes``.
@@ -99,7 +99,7 @@
                 chunks.append(chunk)
                 size += len(chunk)
                 if size > self._limits.max_body_bytes:
-                    raise failed((address, port), "the answer's body is too large")
+                    raise failed((address, port), "the response body is too large")
             return HttpResponse(response.status, response.headers, b"".join(chunks))
 
     @contextlib.asynccontextmanager
@@ -121,30 +121,30 @@
         fresh=False,
         before_send=None,
     ):
-        """Send a request once and give its answer as it comes.
+        """Send a request once and stream its response.
 
-        Leaving the context before the body's end closes the connection.
+        Leaving the context before the end of the body closes the connection.
 
         :param address: the upstream's IP address.
         :param port: the upstream's port.
         :param method: the HTTP method.
         :param target: the path and query.
         :param headers: ``(name, value)`` byte pairs; framing is added here.
-        :param body: the request's body.
-        :param timeout_ms: how long all of it may take; ``request_timeout_ms`` of
-            the limits when left out.
-        :param idempotent: whether the request may be repeated by the caller, and
-            so be sent on a connection that has long been idle.
-        :param connect_timeout_ms: how long a new connection may take; that of the
-            limits when left out.
-        :param head_timeout_ms: how long the answer's head may take.
-        :param progress_timeout_ms: how long the body may be silent.
-        :param allow_close_delimited: take a body that only the connection's close
-            ends, though a cut one looks whole.
-        :param fresh: dial a new connection, whatever idle ones there are.
+        :param body: the request body.
+        :param timeout_ms: the timeout of the whole exchange; defaults to
+            ``request_timeout_ms`` of the limits.
+        :param idempotent: whether the caller may repeat the request, so that it may
+            be sent on a connection that has been idle for long.
+        :param connect_timeout_ms: the connect timeout; defaults to that of the
+            limits.
+        :param head_timeout_ms: the timeout of the response head.
+        :param progress_timeout_ms: the idle timeout of the body.
+        :param allow_close_delimited: accept a body that only the close of the
+            connection ends, although a truncated one looks complete.
+        :param fresh: open a new connection even if the pool has idle ones.
         :param before_send: called once there is a connection, just before the first
             byte is written; raises to prevent it.
-        :return: a context manager that gives a :class:`ResponseStream`.
+        :return: a context manager that yields a :class:`ResponseStream`.
         :raises ServiceError: ``UPSTREAM_UNREACHABLE`` when no byte was written,
             ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when some may have been,
             ``BAD_REQUEST`` when the request is malformed.
@@ -168,7 +168,8 @@
             await response.read_head(method, head_timeout_ms, allow_close_delimited)
             yield response
         except ServiceError:
-            # What has lost track of one old connection has often lost them all.
+            # A network path or server that lost the state of one pooled connection
+            # has often lost the state of all of them.
             if connection.reused:
                 self._pool.drop(endpoint)
             raise
@@ -179,7 +180,7 @@
                 connection.abort()
 
     def has_idle(self, address, port):
-        """Tell whether an idle connection to an upstream is open.
+        """Return whether an idle connection to an upstream is open.
 
         :param address: the upstream's IP address.
         :param port: the upstream's port.
@@ -187,16 +188,16 @@
         return self._pool.has_idle((address, port))
 
     async def close(self):
-        """Close every idle connection; requests in flight run to their end."""
+        """Close every idle connection; requests in flight are completed."""
         await self._pool.close()
 
 
 class ResponseStream:
-    """An answer whose body is still to come.
+    """A response whose body has not been read yet.
 
     :param connection: the connection, with the request written.
     :param deadline: the request's deadline.
-    :param progress_timeout_ms: how long the body may be silent.
+    :param progress_timeout_ms: the idle timeout of the body.
     """
 
     __slots__ = (
@@ -217,10 +218,10 @@
         self._progress_timeout_ms = progress_timeout_ms
 
     async def read_head(self, method, timeout_ms, allow_close_delimited):
-        """Wait for the answer's head, passing over interim ones.
+        """Wait for the final response head, skipping interim (1xx) ones.
 
         :param method: the request's method.
-        :param timeout_ms: how long the head may take, or ``None``.
+        :param timeout_ms: the timeout of the head, or ``None``.
         :param allow_close_delimited: as for :meth:`HttpClient.stream`.
         """
         deadline = self._deadline
@@ -240,14 +241,20 @@
         has_length = b"content-length" in names
         has_chunks = b"transfer-encoding" in names
         if has_length and has_chunks:
-            raise failed(self._connection.target, "its length is stated twice")
+            raise failed(
+                self._connection.target,
+                "it has both Content-Length and Transfer-Encoding",
+            )
         if method == "HEAD" or head.status_code in _BODILESS_STATUSES:
             return
         if not (has_length or has_chunks or allow_close_delimited):
-            raise failed(self._connection.target, "its length is not stated")
+            raise failed(
+                self._connection.target,
+                "it has neither Content-Length nor Transfer-Encoding",
+            )
 
     async def body(self):
-        """Yield the body's bytes as they come, ending only at its stated end.
+        """Yield the bytes of the body; return only once the framing marks its end.
 
         :raises ServiceError: ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT``.
         """
@@ -263,7 +270,7 @@
 
 
 def end_to_end(headers):
-    """Yield the headers that do not belong to one connection.
+    """Yield the end-to-end headers, without the hop-by-hop ones.
 
     :param headers: ``(name, value)`` byte pairs.
     """
--- a/goldcrestmoor/connection/http_connection.py
+++ b/goldcrestmoor/connection/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection: dialled, checked, written to, read from, closed."""
+"""One HTTP/1.1 client connection: connect, check, write, read and close."""
 
 import asyncio
 import re
@@ -11,14 +11,14 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.util import wait_within
 
-# More than an asyncio stream ever holds, so that one read empties it.
+# Larger than the buffer of an asyncio stream, so that one read empties it.
 READ_BYTES = 1 << 20
 
-# After a stall of this process the timer ends the wait for a connection that the kernel
-# has made meanwhile; a few turns of the loop later it is there.
+# After a pause of this process, the timer fires before the event loop has seen a
+# connection that the kernel completed meanwhile; it appears a few iterations later.
 CONNECT_GRACE_MS = 10
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d{1,6})")
-# A request must reach the server before it closes the connection as idle.
+# A request must reach the server before the server closes the idle connection.
 KEEP_ALIVE_MARGIN_MS = 500
 
 _POLL_EVENTS = select.POLLIN | select.POLLRDHUP
@@ -27,14 +27,14 @@
 class HttpConnection:
     """A connection that carries one request at a time.
 
-    Its socket is read only while an answer is awaited. Whatever reached it before
-    a request is written therefore lies in the socket, where :meth:`is_usable` sees
-    it without waiting.
+    The socket is read only while a response is awaited. Unsolicited data that
+    arrives before a request is written therefore stays in the socket buffer, where
+    :meth:`is_usable` detects it without waiting.
 
     :param reader: the asyncio stream reader.
     :param writer: the asyncio stream writer.
-    :param target: the ``(address, port)`` pair that it leads to.
-    :param max_header_bytes: the bound on an answer's head.
+    :param target: the remote ``(address, port)`` pair.
+    :param max_header_bytes: the maximum size of a response head.
     """
 
     __slots__ = (
@@ -66,26 +66,26 @@
         """Open a connection.
 
         :param target: the ``(address, port)`` pair.
-        :param source: the IP address that it goes out from; any when left out.
-        :param timeout_ms: how long the handshake may take, in milliseconds.
+        :param source: the local IP address to bind; any by default.
+        :param timeout_ms: the connect timeout, in milliseconds.
         :param limits: the :class:`~goldcrestmoor.settings.LimitSettings`.
         :raises ServiceError: ``UPSTREAM_UNREACHABLE``; nothing was written.
         """
         try:
             reader, writer = await _open(target, timeout_ms, source)
-            # The kernel gives up bytes that the other end never acknowledges. A
-            # connection that was reset meanwhile has no socket any more.
+            # The kernel drops the connection when the remote end does not
+            # acknowledge data. A connection that was already reset has no socket.
             writer.get_extra_info("socket").setsockopt(
                 socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limits.progress_timeout_ms
             )
         except TimeoutError as e:
-            raise unreachable(target, "no connection in time") from e
+            raise unreachable(target, "connect timed out") from e
         except OSError as e:
             raise unreachable(target, "connection refused") from e
         return cls(reader, writer, target, limits.max_header_bytes)
 
     def is_usable(self):
-        """Tell whether it is open with nothing unread on it."""
+        """Return whether the connection is open and has no unread data."""
         transport = self._writer.transport
         if transport.is_closing() or self._reader.at_eof():
             return False
@@ -94,11 +94,11 @@
         return not poller.poll(0)
 
     def send(self, request, body):
-        """Write a whole request without waiting for it to leave.
+        """Write a complete request without waiting for it to be sent.
 
-        The body is in memory already, so nothing is gained by holding it back, and
-        an answer that comes before the body has left is read at once. From this
-        call on the request may have been run.
+        The body is already in memory, so flow control would save nothing, and a
+        response that arrives before the body is sent is read at once. From this
+        call on, the request may have been run.
 
         :param request: the ``h11.Request``.
         :param body: the body's bytes.
@@ -110,12 +110,12 @@
         self._writer.write(head + tail)
 
     async def next_event(self, wait_ms):
-        """Return the next event of the answer.
+        """Return the next event of the response.
 
-        :param wait_ms: gives how long the next read may take, in milliseconds.
+        :param wait_ms: returns the timeout of the next read, in milliseconds.
         :return: an ``h11`` event: a head, data or the end.
-        :raises ServiceError: ``UPSTREAM_FAILED`` when the connection or the answer
-            breaks, ``UPSTREAM_TIMEOUT`` when it falls silent.
+        :raises ServiceError: ``UPSTREAM_FAILED`` when the connection is lost or the
+            response is malformed, ``UPSTREAM_TIMEOUT`` when a read times out.
         """
         while True:
             try:
@@ -128,14 +128,14 @@
             if isinstance(event, (h11.Response, h11.InformationalResponse)):
                 self._check_head_size(event)
             elif not isinstance(event, (h11.Data, h11.EndOfMessage)):
-                raise failed(self.target, "closed without an answer")
+                raise failed(self.target, "connection closed before the response")
             return event
 
     async def _read(self, timeout_ms):
         try:
             return await wait_within(timeout_ms, lambda: self._reader.read(READ_BYTES))
         except TimeoutError as e:
-            message = f"{_name(self.target)} fell silent."
+            message = f"{_name(self.target)} sent no data within {timeout_ms:.0f} ms."
             raise ServiceError(ErrorKind.UPSTREAM_TIMEOUT, message) from e
         except OSError as e:
             raise failed(self.target, "connection lost") from e
@@ -143,12 +143,12 @@
     def _check_head_size(self, head):
         size = sum(len(name) + len(value) for name, value in head.headers)
         if size > self._max_header_bytes:
-            raise failed(self.target, "the answer's head is too large")
+            raise failed(self.target, "the response head is too large")
 
     def record_keep_alive(self, headers):
-        """Learn how long the server keeps the connection when it is idle.
+        """Record the idle timeout that the server advertises in Keep-Alive.
 
-        :param headers: the answer's ``(name, value)`` byte pairs.
+        :param headers: the response's ``(name, value)`` byte pairs.
         """
         for name, value in headers:
             found = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
@@ -157,9 +157,9 @@
                 self.max_idle_ms = max(0, stated_ms - KEEP_ALIVE_MARGIN_MS)
 
     def finish(self):
-        """Make ready for another request after a whole answer.
+        """Prepare for the next request after a complete response.
 
-        :return: whether the connection may be used again.
+        :return: whether the connection may be reused.
         """
         codec, transport = self._codec, self._writer.transport
         done = codec.our_state is h11.DONE and codec.their_state is h11.DONE
@@ -173,12 +173,12 @@
         return True
 
     def abort(self):
-        """Close at once, dropping whatever is still on the way."""
+        """Close at once, discarding data in transit."""
         self._writer.transport.abort()
 
 
 def unreachable(target, reason):
-    """Return the error of a request of which no byte was written.
+    """Return the error for a request of which no byte was written.
 
     :param target: the ``(address, port)`` pair.
     :param reason: why, as part of a sentence.
@@ -188,7 +188,7 @@
 
 
 def failed(target, reason):
-    """Return the error of a request that may have been run.
+    """Return the error for a request that may have been run.
 
     :param target: the ``(address, port)`` pair.
     :param reason: why, as part of a sentence.
@@ -221,6 +221,6 @@
 
 
 def _close_opened(opening):
-    """Close a connection that was made although nobody waits for it any more."""
+    """Close a connection that was established after its caller stopped waiting."""
     if not opening.cancelled() and opening.exception() is None:
         opening.result()[1].close()
--- a/goldcrestmoor/connection/http_pool.py
+++ b/goldcrestmoor/connection/http_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections, kept by target until they are used, stale or too many."""
+"""The pool of idle connections by target, bounded in age and number."""
 
 import asyncio
 import collections
@@ -9,23 +9,23 @@
 
 log = logging.getLogger("goldcrestmoor.pool")
 
-# A burst to one upstream is at most its slots; more would stay idle.
+# A burst to one upstream is at most its slots; further connections would stay idle.
 MAX_IDLE_CONNECTIONS_PER_TARGET = 32
-# Bounds the descriptors of idle connections; the smallest hosts have 4,100.
+# Limits the file descriptors of idle connections; the smallest hosts have 4,100.
 MAX_IDLE_CONNECTIONS = 1024
 
-# A server that has just answered is alive and is not about to close the connection
-# as idle. Only such a connection carries a request that may not be repeated.
+# A server that responded this recently is alive and not about to close the connection
+# as idle. Only such a connection is reused for a request that must not be repeated.
 VERIFIED_IDLE_MS = 500
 
 
 class HttpPool:
-    """Connections of one process, by target.
+    """Pools the HTTP connections of one process, by target.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param limits: the :class:`~goldcrestmoor.settings.LimitSettings`.
-    :param source: the IP address that connections go out from; any when left out.
-    :ivar idle_count: how many idle connections are kept.
+    :param source: the local IP address to bind; any by default.
+    :ivar idle_count: the number of idle connections.
     """
 
     __slots__ = (
@@ -52,14 +52,14 @@
     async def acquire(
         self, target, deadline, idempotent, fresh=False, connect_timeout_ms=None
     ):
-        """Return a clean connection, an idle one where that is safe.
+        """Return a usable connection, an idle one where reuse is safe.
 
         :param target: the ``(address, port)`` pair.
         :param deadline: the request's deadline.
         :param idempotent: whether the request may be repeated.
-        :param fresh: pass over the idle ones.
-        :param connect_timeout_ms: how long a new connection may take; that of the
-            limits when left out.
+        :param fresh: skip the idle connections.
+        :param connect_timeout_ms: the connect timeout; defaults to that of the
+            limits.
         :raises ServiceError: ``UPSTREAM_UNREACHABLE``; nothing was written.
         """
         bound_ms = self._limits.idle_connection_ms
@@ -97,7 +97,7 @@
         return bound_ms is not None and idle_ms > bound_ms
 
     def has_idle(self, target):
-        """Tell whether an idle connection to a target is open.
+        """Return whether an idle connection to a target is open.
 
         :param target: the ``(address, port)`` pair.
         """
@@ -105,7 +105,7 @@
         return bool(idle) and not self._has_expired(idle[-1]) and idle[-1].is_usable()
 
     def release(self, connection):
-        """Take back a connection after a whole answer.
+        """Return a connection to the pool after a complete response.
 
         :param connection: the :class:`HttpConnection`.
         """
@@ -127,7 +127,7 @@
             self._reaper = self._tasks.start(self._reap(), "pool reaper")
 
     def drop(self, target):
-        """Close the idle connections to a target whose path is in doubt.
+        """Close the idle connections to a target whose network path may be broken.
 
         :param target: the ``(address, port)`` pair.
         """
@@ -136,7 +136,7 @@
             self.idle_count -= 1
 
     async def close(self):
-        """Close every idle connection and keep no more."""
+        """Close every idle connection; released ones are closed from now on."""
         self._closed = True
         for target in list(self._idle_by_target):
             self.drop(target)
--- a/goldcrestmoor/connection/peer_link.py
+++ b/goldcrestmoor/connection/peer_link.py
@@ -1,4 +1,4 @@
-"""The link to one peer: its socket, outbox and two tasks."""
+"""The link to one peer: its socket, send queue and two tasks."""
 
 import asyncio
 import logging
@@ -9,11 +9,11 @@
 
 log = logging.getLogger("goldcrestmoor.peers")
 
-# Bounds what is kept for a peer that takes nothing.
+# Limits the queue for a peer that receives nothing.
 MAX_OUTBOX_MESSAGES = 1000
-# A sound peer answers in milliseconds.
+# A healthy peer replies within milliseconds.
 UNRESPONSIVE_MS = 1000
-# One lost answer may be the call's; two are the connection's.
+# One missing reply may be due to the call; two are due to the connection.
 UNRESPONSIVE_CALLS = 2
 
 
@@ -22,7 +22,7 @@
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: the peer.
-    :param endpoint: the peer's address and port, as dialled.
+    :param endpoint: the peer's address and port.
     :param socket: the connected DEALER.
     :param tasks: the :class:`~goldcrestmoor.util.TaskGroup` of its tasks.
     :param on_frames: called with the link and the frames of each reply.
@@ -64,8 +64,8 @@
         """Queue a message for the peer.
 
         :param parts: its frames.
-        :param deadline: when it is no longer worth sending.
-        :return: whether there was room for it.
+        :param deadline: the time after which it is not sent.
+        :return: whether the queue had capacity for it.
         """
         self.last_used_ms = self._clock.now_ms()
         try:
@@ -75,9 +75,9 @@
         return True
 
     def record_timeout(self):
-        """Count a call that went unanswered.
+        """Record a call that timed out.
 
-        :return: whether the link has gone silent and must be dialled anew.
+        :return: whether the link is unresponsive and must be reconnected.
         """
         self._unanswered_calls += 1
         idle_ms = self._clock.now_ms() - self._last_received_ms
@@ -86,12 +86,12 @@
         )
 
     def should_ping(self):
-        """Tell whether it has been silent for so long that it should be asked."""
+        """Return whether the link is suspected unresponsive and no ping is pending."""
         idle_ms = self._clock.now_ms() - self._last_received_ms
         return idle_ms >= UNRESPONSIVE_MS and not self.is_ping_pending
 
     def close(self):
-        """Close the socket at once; calls that still wait are given up."""
+        """Close the socket at once and cancel the pending calls."""
         for task in self._tasks:
             task.cancel()
         self._socket.close(linger=0)
@@ -109,7 +109,7 @@
                 async with asyncio.timeout(deadline.remaining_ms() / MS_PER_SECOND):
                     await self._socket.send_multipart(parts)
             except TimeoutError:
-                log.debug("No connection to %s in time.", self.host_id)
+                log.debug("Sending to %s timed out: no connection.", self.host_id)
             except zmq.ZMQError as e:
                 log.warning("Sending to %s failed: %s.", self.host_id, e)
 
--- a/goldcrestmoor/connection/peer_sockets.py
+++ b/goldcrestmoor/connection/peer_sockets.py
@@ -6,28 +6,28 @@
 import zmq.asyncio
 import zmq.auth.asyncio
 
-# One thread carries far more than the control traffic of a host.
+# One thread handles far more than the control traffic of a host.
 IO_THREADS = 1
-# The same as the outbox above it, so that neither hides the other's limit.
+# Equal to the send queue of a link, so that neither limit hides the other.
 HIGH_WATER_MESSAGES = 1000
-# Above the largest message, a step that is handed over.
+# Above the largest message, the handover of a step.
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-# With the interval and the probes below, a dead peer is known within 25 s.
+# With the interval and the probes below, a dead peer is detected within 25 s.
 KEEPALIVE_IDLE_S = 10
 KEEPALIVE_INTERVAL_S = 5
 KEEPALIVE_PROBES = 3
 # A peer that restarts is back within a second.
 RECONNECT_MIN_MS = 100
-# A peer that stays away costs one attempt every two seconds.
+# A peer that stays unavailable costs one attempt every two seconds.
 RECONNECT_MAX_MS = 2000
-# A round trip between regions is a tenth of a second at the most.
+# A round trip between regions takes at most a tenth of a second.
 CONNECT_TIMEOUT_MS = 2000
-# Two round trips and some time for the keys.
+# Two round trips and the key exchange.
 HANDSHAKE_TIMEOUT_MS = 2000
 
 
 class _FleetKeyProvider:
-    """Admits the one key that all daemons of the fleet share."""
+    """A CURVE credentials provider that accepts only the fleet's shared key."""
 
     __slots__ = ("_key",)
 
@@ -39,10 +39,10 @@
 
 
 class PeerSockets:
-    """A zmq context whose sockets all carry the fleet's keys.
+    """A zmq context whose sockets all use the fleet's CURVE keys.
 
     :param security: the :class:`~goldcrestmoor.settings.SecuritySettings`.
-    :param address: this host's IP address, from which connections go out.
+    :param address: this host's IP address, to which outgoing connections bind.
     """
 
     __slots__ = (
@@ -61,14 +61,14 @@
         self._authenticator = zmq.auth.asyncio.AsyncioAuthenticator(self._context)
 
     def start(self):
-        """Start to authenticate peers. Call it before any socket is bound."""
+        """Start to authenticate peers. Must be called before any socket is bound."""
         self._authenticator.start()
         self._authenticator.configure_curve_callback(
             "*", _FleetKeyProvider(self._public_key)
         )
 
     def bind(self, address, port):
-        """Return a ROUTER that admits the fleet's daemons.
+        """Return a ROUTER socket that accepts the fleet's daemons.
 
         :param address: the IP address to listen on.
         :param port: the TCP port to listen on.
@@ -79,24 +79,24 @@
         return socket
 
     def connect(self, address, port):
-        """Return a DEALER that is being connected to one peer.
+        """Return a DEALER socket that is connecting to one peer.
 
         :param address: the peer's IP address.
         :param port: the peer's TCP port.
         """
         socket = self._socket(zmq.DEALER)
         socket.curve_serverkey = self._public_key
-        # Nothing is queued for a peer that is not there: a message that has
-        # waited for a connection would arrive long after its caller gave up.
+        # Nothing is queued for a peer without a connection: a message that waited
+        # for one would arrive long after its caller timed out.
         socket.immediate = True
         socket.connect(f"tcp://{self._address}:0;{address}:{port}")
         return socket
 
     async def close(self):
-        """Close the context. Its sockets must have been closed before."""
+        """Close the context. All of its sockets must be closed already."""
         self._authenticator.stop()
-        # The authenticator's cancelled task still watches its socket. It must
-        # end before another socket can be given the same file descriptor.
+        # The authenticator's cancelled task still polls its socket. It must end
+        # before the file descriptor can be reused for another socket.
         await asyncio.sleep(0)
         self._context.destroy(linger=0)
         await asyncio.sleep(0)
--- a/goldcrestmoor/connection/peers.py
+++ b/goldcrestmoor/connection/peers.py
@@ -19,42 +19,41 @@
 
 log = logging.getLogger("goldcrestmoor.peers")
 
-# A host talks to the peers of its duties and its probes, some dozens.
+# A host connects to the peers of its duties and its probes: a few dozen.
 MAX_LINKS = 128
-# Bounds the memory that silent peers cost.
+# Limits the memory used for unresponsive peers.
 MAX_PENDING_CALLS = 10_000
-# Bounds what peers can make this host work on at a time.
+# Limits the concurrent work that peers can cause on this host.
 MAX_HANDLERS = 1024
-# Probes use most links more often; the others are cheap to dial again.
+# Probes use most links more often; the others are cheap to reopen.
 MAX_LINK_IDLE_MS = 120_000
-# How often idle links are looked for.
+# The interval at which idle links are closed.
 CLEANUP_INTERVAL_MS = 5000
-# Messages without an answer are news, which is stale by then.
+# One-way messages are updates, which are stale after this time.
 SEND_DEADLINE_MS = 1000
-# Two processes never draw the same number.
+# Random, and long enough that no two processes share an incarnation.
 INCARNATION_BYTES = 8
 COUNTER_BYTES = frames.CALL_ID_BYTES - INCARNATION_BYTES
 BAD_INPUT_LABEL = "peer"
 
-# A call may wait long for its answer; meanwhile the link is asked to show that it
-# still carries anything.
+# A call may wait long for its reply; meanwhile a ping checks that the link still works.
 PING_AFTER_MS = 1000
-# As long as a silent peer is borne with.
+# The time for which an unresponsive peer is tolerated.
 PING_TIMEOUT_MS = 1000
 
 call_deadline = contextvars.ContextVar("call_deadline", default=None)
 
 
 class Ping(wire.Message, frozen=True):
-    """Asks for any answer, to see that a link is not silent."""
+    """Requests an empty reply, to check that a link responds."""
 
 
 class PeerLinks:
-    """This daemon's links to its peers.
+    """The links of this daemon to its peers, and the server for their messages.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param settings: the :class:`~goldcrestmoor.settings.Settings`.
-    :param directory: gives ``(address, peer_port)`` for a host's name, or None.
+    :param directory: returns ``(address, peer_port)`` for a host's name, or None.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
 
@@ -89,7 +88,7 @@
         self._metrics = metrics
         self._sockets = PeerSockets(settings.security, settings.host.address)
         self._router = None
-        # A late reply to a former process of this host must match no call.
+        # A late reply to an earlier process of this host must match no call.
         self._incarnation = secrets.token_bytes(INCARNATION_BYTES)
         self._counter = 0
         self._links_by_host_id = {}
@@ -102,7 +101,7 @@
         self.register(Ping, self._on_ping, urgent=True)
 
     def register(self, message_class, handler, urgent=False):
-        """Choose the handler of a message class.
+        """Register the handler of a message class.
 
         :param message_class: a :class:`~goldcrestmoor.wire.Message` subclass.
         :param handler: ``async (sender_id, message) -> Message | None``.
@@ -121,7 +120,7 @@
         self._tasks.start(self._close_idle_links(), "close idle links")
 
     async def close(self):
-        """Close every link; calls that still wait are given up."""
+        """Close every link; pending calls fail."""
         self._closed = True
         for link in list(self._links_by_host_id.values()):
             self._close_link(link)
@@ -131,14 +130,14 @@
         await self._sockets.close()
 
     async def call(self, host_id, message, timeout_ms):
-        """Ask a peer and wait for its answer.
+        """Send a request to a peer and wait for its reply.
 
         :param host_id: the peer.
-        :param message: what to ask.
+        :param message: the request.
         :param timeout_ms: how long to wait, in milliseconds.
-        :return: the peer's answer.
-        :raises ServiceError: the peer's own, or ``PEER_UNREACHABLE`` when no
-            answer came in time.
+        :return: the peer's reply.
+        :raises ServiceError: the error that the peer replied with, or
+            ``PEER_UNREACHABLE`` when no reply came in time.
         """
         name = type(message).__name__
         with tracing.span(f"call {name}", peer=host_id):
@@ -148,22 +147,24 @@
         return answer
 
     def send(self, host_id, message):
-        """Send a message one way; it may be lost.
+        """Send a one-way message, which may be lost.
 
         :param host_id: the peer.
-        :param message: what to send.
+        :param message: the message.
         """
         try:
             link = self._link(host_id)
         except ServiceError:
-            log.debug("No address is known for %s.", host_id)
+            log.debug("No address is known for %s; the message is dropped.", host_id)
             return
         deadline = Deadline.after(self._clock, SEND_DEADLINE_MS)
         self._enqueue(link, frames.KIND_SEND, self._next_call_id(), message, deadline)
 
     async def _call(self, host_id, message, timeout_ms):
         if self._pending_calls >= MAX_PENDING_CALLS:
-            raise ServiceError(ErrorKind.OVERLOADED, "Too many calls wait for peers.")
+            raise ServiceError(
+                ErrorKind.OVERLOADED, "Too many calls to peers are pending."
+            )
         link = self._link(host_id)
         deadline = Deadline.after(self._clock, timeout_ms)
         call_id = self._next_call_id()
@@ -172,7 +173,9 @@
         self._pending_calls += 1
         try:
             if not self._enqueue(link, frames.KIND_CALL, call_id, message, deadline):
-                raise ServiceError(ErrorKind.PEER_UNREACHABLE, "The link is full.")
+                raise ServiceError(
+                    ErrorKind.PEER_UNREACHABLE, "The send queue of the link is full."
+                )
             await self._wait(link, future, deadline)
         finally:
             self._pending_calls -= 1
@@ -180,12 +183,15 @@
         if future.done() and not future.cancelled():
             return future.result()
         if not future.cancelled() and link.record_timeout():
-            log.warning("The link to %s went silent and is dialled anew.", host_id)
+            log.warning("The link to %s is unresponsive and is reconnected.", host_id)
             self._close_link(link)
-        raise ServiceError(ErrorKind.PEER_UNREACHABLE, f"No answer from {host_id}.")
+        raise ServiceError(
+            ErrorKind.PEER_UNREACHABLE,
+            f"No reply from {host_id}.",
+        )
 
     async def _wait(self, link, future, deadline):
-        """Wait for a reply, and have a link that says nothing looked at meanwhile."""
+        """Wait for a reply, and ping a link that is suspected unresponsive."""
         while not future.done() and not deadline.passed():
             wait_ms = min(PING_AFTER_MS, deadline.remaining_ms())
             await asyncio.wait((future,), timeout=wait_ms / MS_PER_SECOND)
@@ -197,7 +203,7 @@
         try:
             await self._call(link.host_id, Ping(), PING_TIMEOUT_MS)
         except ServiceError as e:
-            log.debug("No sign of %s: %s", link.host_id, e)
+            log.debug("Ping of %s failed: %s", link.host_id, e)
         finally:
             link.is_ping_pending = False
 
@@ -206,7 +212,9 @@
 
     def _link(self, host_id):
         if self._closed:
-            raise ServiceError(ErrorKind.PEER_UNREACHABLE, "This host is closing.")
+            raise ServiceError(
+                ErrorKind.PEER_UNREACHABLE, "This host is shutting down."
+            )
         endpoint = self._directory(host_id)
         link = self._links_by_host_id.get(host_id)
         if endpoint is None:
@@ -255,7 +263,7 @@
 
     def _encode(self, kind, call_id, message, deadline_ms):
         if kind == frames.KIND_REPLY:
-            # The call's id says all that the caller must know of a reply.
+            # The caller matches a reply by the call id alone.
             headers = frames.Headers(self._host.id, "")
         else:
             headers = frames.Headers(
@@ -284,7 +292,7 @@
             envelope = frames.decode(parts)
         except ServiceError as e:
             self._metrics.bad_input.labels(BAD_INPUT_LABEL).inc()
-            log.warning("Refused peer frames: %s", e)
+            log.warning("Peer frames rejected: %s", e)
             return None
         self._count_bytes(
             self.bytes_received_by_class, "received", envelope.name, parts
@@ -320,7 +328,9 @@
     def _dispatch(self, identity, envelope):
         urgent = type(envelope.message) in self._urgent_classes
         if self._running_handlers >= MAX_HANDLERS and not urgent:
-            error = ServiceError(ErrorKind.OVERLOADED, "Too many peer messages.")
+            error = ServiceError(
+                ErrorKind.OVERLOADED, "Too many peer messages are being handled."
+            )
             self._reply(identity, envelope, Failed(to_body(error)))
             return
         self._running_handlers += 1
@@ -343,17 +353,19 @@
         try:
             if handler is None:
                 raise ServiceError(ErrorKind.BAD_REQUEST, "No handler for the message.")
-            # The caller has gone once its deadline is over: work for it ends.
+            # The caller stops waiting at its deadline, so the work for it is cancelled.
             timeout_s = None if timeout_ms is None else timeout_ms / MS_PER_SECOND
             async with asyncio.timeout(timeout_s):
                 answer = await handler(envelope.headers.sender, envelope.message)
         except ServiceError as e:
             return Failed(to_body(e))
         except TimeoutError:
-            error = ServiceError(ErrorKind.PEER_UNREACHABLE, "The deadline is over.")
+            error = ServiceError(
+                ErrorKind.PEER_UNREACHABLE, "The deadline of the call has passed."
+            )
             return Failed(to_body(error))
         except Exception:
-            log.exception("The handler of %s failed.", envelope.name)
+            log.exception("The handler of %s raised an exception.", envelope.name)
             return Failed(to_body(ServiceError(ErrorKind.INTERNAL)))
         return Done() if answer is None else answer
 
@@ -362,7 +374,7 @@
             return
         parts = self._encode(frames.KIND_REPLY, envelope.call_id, answer, 0)
         try:
-            # A ROUTER never blocks: a reply to a peer that has gone is dropped.
+            # A ROUTER never blocks: a reply to a disconnected peer is dropped.
             self._router.send_multipart([identity, *parts], flags=zmq.NOBLOCK)
         except zmq.ZMQError as e:
-            log.warning("Answering %s failed: %s.", envelope.headers.sender, e)
+            log.warning("Sending a reply to %s failed: %s.", envelope.headers.sender, e)
--- a/goldcrestmoor/connection/retry_budget.py
+++ b/goldcrestmoor/connection/retry_budget.py
@@ -1,14 +1,14 @@
-"""A budget that keeps retries a small part of an upstream's load."""
+"""A budget that limits retries to a small part of an upstream's load."""
 
 import collections
 
 PERCENT = 100
-# Bounds the memory; several times the 700 servers of a large fleet.
+# Limits memory; several times the 700 servers of a large fleet.
 MAX_UPSTREAMS = 4096
-# A quiet upstream may have a short burst of retries.
+# Unused budget allows a burst of at most so many retries.
 MAX_SAVED_RETRIES = 10
 
-# An upstream with little traffic may still be given a retry this often.
+# An upstream with little traffic may still get a retry this often.
 FLOOR_INTERVAL_MS = 10_000
 
 
@@ -21,7 +21,7 @@
 
 
 class RetryBudget:
-    """Allow retries as a share of each upstream's first sends.
+    """Allows retries as a percentage of each upstream's first attempts.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param percent: retries allowed for each hundred requests.
@@ -35,21 +35,21 @@
         self._bucket_by_upstream = collections.OrderedDict()
 
     def record_request(self, upstream):
-        """Count a first send.
+        """Count a first attempt.
 
-        :param upstream: the upstream that it went to, or its pool.
+        :param upstream: the upstream that it was sent to, or its pool.
         """
         bucket = self._bucket(upstream)
         bucket.saved = min(MAX_SAVED_RETRIES, bucket.saved + self._retry_ratio)
 
     def try_retry(self, upstream):
-        """Take one retry out of the budget, where there is one.
+        """Take one retry from the budget, if it has one.
 
-        :param upstream: the upstream that the retry would go to, or its pool.
-        :return: whether it may be sent.
+        :param upstream: the upstream that the retry would be sent to, or its pool.
+        :return: whether the retry may be sent.
         """
         bucket = self._bucket(upstream)
-        # The shares are sums of fractions, so that a whole one may lie just below.
+        # The balance is a sum of floats, so one full retry may be just below 1.
         if bucket.saved >= 1 - 1e-9:
             bucket.saved -= 1
             return True
