--- a/goldcrestmoor/adapters/__init__.py
+++ b/goldcrestmoor/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols of outside systems, one narrow module each."""
+"""Clients of external systems, one module per protocol."""
--- a/goldcrestmoor/adapters/engine.py
+++ b/goldcrestmoor/adapters/engine.py
@@ -1,4 +1,4 @@
-"""The model engines' protocol: streams, orders and load reports."""
+"""The client of model engines: streams, load orders and state reports."""
 
 import msgspec
 
@@ -19,12 +19,12 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine reports about itself, late.
+    """The state that an engine reports, with a delay.
 
     :param model: the model that it runs.
     :param version: the weight version.
-    :param running: streams that it works on.
-    :param waiting: streams that wait.
+    :param running: the number of running streams.
+    :param waiting: the number of queued streams.
     :param role: its role.
     """
 
@@ -51,11 +51,11 @@
 
 
 class EngineClient:
-    """Speak to engines.
+    """Sends requests to engines.
 
     :param http: the ``HttpClient``.
-    :param clock: the :class:`~goldcrestmoor.clock.Clock`; an own one when left out.
-    :param on_leaving: called with the name of an engine that answers that it is
+    :param clock: the :class:`~goldcrestmoor.clock.Clock`; a new one by default.
+    :param on_leaving: called with the name of an engine that reports that it is
         leaving.
     """
 
@@ -79,20 +79,20 @@
         resume_text="",
         idle_timeout_ms=None,
     ):
-        """Yield the pieces of one stream as they come.
+        """Yield the token chunks of one stream as they arrive.
 
         :param upstream: the ``Upstream``.
         :param model: the model's name.
         :param prompt: the prompt's text.
-        :param max_tokens: the most tokens still to make, in tokens.
+        :param max_tokens: the maximum number of tokens to generate.
         :param seed: the sampling seed.
-        :param request_id: what :meth:`cancel` names the stream by.
-        :param timeout_ms: when to give up, in milliseconds.
-        :param resume_text: what an earlier stream made already.
-        :param idle_timeout_ms: how long the engine may send no event.
+        :param request_id: identifies the stream in :meth:`cancel`.
+        :param timeout_ms: the timeout, in milliseconds.
+        :param resume_text: the output of an earlier stream, to continue from.
+        :param idle_timeout_ms: the longest time between two events.
         :raises ServiceError: ``UPSTREAM_FAILED`` when the stream ends without its
-            end mark or an event states no version, ``UPSTREAM_TIMEOUT`` when the
-            engine is silent.
+            end-of-stream marker or an event has no weight version,
+            ``UPSTREAM_TIMEOUT`` when the engine sends no event in time.
         """
         body = msgspec.json.encode(
             {
@@ -133,36 +133,36 @@
                     if not held_chunk.finish_reason:
                         yield held_chunk
                         held_chunk = None
-                # The piece that ends the text counts only with the end mark.
+                # The final chunk is valid only once the end-of-stream marker arrives.
                 if held_chunk is not None:
                     yield held_chunk
 
     async def order(self, upstream, *, model, version, fencing, timeout_ms):
-        """Order an engine to load a weight version, and return what it then runs.
+        """Send a load order to an engine and return the version that it then runs.
 
         :param upstream: the engine.
         :param model: the model's name.
-        :param version: the weight version that it shall run.
-        :param fencing: the number of the lease that the order is given under.
-        :param timeout_ms: when to give up, in milliseconds.
-        :return: the version that the engine says it runs.
-        :raises ServiceError: ``VERSION_CONFLICT`` when the fencing number is old.
+        :param version: the weight version to load.
+        :param fencing: the fencing number of the lease under which it is ordered.
+        :param timeout_ms: the timeout, in milliseconds.
+        :return: the version that the engine reports.
+        :raises ServiceError: ``VERSION_CONFLICT`` when the fencing number is stale.
         """
         body = msgspec.json.encode(
             {"model": model, "version": version, "fencing": fencing}
         )
         response = await self._request(upstream, "POST", "/orders", body, timeout_ms)
         if response.status == STATUS_CONFLICT:
-            text = f"{upstream.name} refused an old fencing number."
+            text = f"{upstream.name} rejected a stale fencing number."
             raise ServiceError(ErrorKind.VERSION_CONFLICT, text)
         _check_status(response.status, upstream)
         return _decode(response.body, _LoadOrderReply, upstream).version
 
     async def state(self, upstream, *, timeout_ms):
-        """Return what an engine reports about itself.
+        """Return the state that an engine reports.
 
         :param upstream: the engine.
-        :param timeout_ms: when to give up, in milliseconds.
+        :param timeout_ms: the timeout, in milliseconds.
         :return: the :class:`EngineState`.
         """
         response = await self._request(upstream, "GET", "/state", b"", timeout_ms)
@@ -173,11 +173,11 @@
         return state
 
     async def cancel(self, upstream, request_id, *, timeout_ms):
-        """End a stream that nobody reads any more.
+        """Cancel a stream that is no longer read.
 
         :param upstream: the engine.
-        :param request_id: what the stream was started with.
-        :param timeout_ms: when to give up, in milliseconds.
+        :param request_id: the id that the stream was started with.
+        :param timeout_ms: the timeout, in milliseconds.
         """
         body = msgspec.json.encode({"request_id": request_id})
         await self._request(upstream, "POST", "/cancel", body, timeout_ms)
@@ -213,15 +213,15 @@
     try:
         return msgspec.json.decode(data, type=cls)
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
-        text = f"{upstream.name} sent a malformed answer."
+        text = f"{upstream.name} sent a malformed response."
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text) from e
 
 
 async def _events(chunks, upstream, clock, idle_timeout_ms):
-    """Yield the data of each server-sent event, up to the end mark.
+    """Yield the data of each server-sent event, up to the end-of-stream marker.
 
-    Silence on the connection is the HTTP client's to notice; bytes that are no
-    event must not keep a stream alive either.
+    The HTTP client detects an idle connection; the timeout here ensures that bytes
+    that are not events, such as comments, do not keep a stream alive.
     """
     buffer = b""
     last_event_ms = clock.now_ms()
@@ -242,14 +242,14 @@
             raise ServiceError(ErrorKind.UPSTREAM_TIMEOUT, text)
         if len(buffer) > MAX_EVENT_BYTES:
             break
-    text = f"{upstream.name} ended a stream without its end mark."
+    text = f"{upstream.name} ended a stream without its end-of-stream marker."
     raise ServiceError(ErrorKind.UPSTREAM_FAILED, text)
 
 
 def _decode_chunk(data, upstream):
     event = _decode(data, _Event, upstream)
     if event.version is None or not event.choices:
-        text = f"{upstream.name} states no weight version."
+        text = f"{upstream.name} sent an event without a weight version."
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text)
     choice = event.choices[0]
     reason = choice.finish_reason or ""
--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -1,10 +1,10 @@
-"""Sends a host's transactions as one while an earlier one is under way (group commit).
+"""Group commit: combines a host's transactions while an earlier one is in flight.
 
-The load this answers: the store makes transactions one after another, 5 ms each, and
-turns calls away once a second's worth is waiting. When it is sixty times slower than
-usual it makes three a second for all hosts, while each host that runs jobs has several
-to make at any time: results of two jobs, leases, entries of orders. As one transaction
-they take one turn.
+Workload: the store applies transactions serially, 5 ms each, and rejects calls once one
+second of work is queued. When it is sixty times slower than usual, it applies three a
+second for all hosts, while each host that runs jobs has several pending at any time:
+results of two jobs, leases, load order entries. Combined, they take one place in the
+store's queue.
 """
 
 import asyncio
@@ -19,59 +19,60 @@
 
 log = logging.getLogger("goldcrestmoor.commits")
 
-# The store takes 100 entries and 1 MB after base64 in a transaction; 600 kB are 800 kB
-# then, which leaves room for keys and checks.
+# The store accepts 100 entries and 1 MB after base64 encoding per transaction; 600 kB
+# become 800 kB, which leaves space for keys and checks.
 MAX_ENTRIES = 100
 MAX_BYTES = 600_000
-# Of an entry beside its value: table, key, version and their encoding.
+# The size of an entry besides its value: table, key, version and their encoding.
 ENTRY_BYTES = 200
-# Sixty times what the store needs when it is well: an answer that is later is lost, or
+# Sixty times the latency of a healthy store: a response that takes longer is lost, or
 # the store is slow, which its reads have shown by then.
 MIN_RESPONSE_TIMEOUT_MS = 300
-# How often a store that gives no answers is asked again, so that the end of an outage
-# is noticed within this.
+# The interval between calls to an unresponsive store, and so the longest time until
+# the end of an outage is detected.
 MAX_RESPONSE_TIMEOUT_MS = 500
-# A store that turns calls away has a second's worth waiting; coming back sooner than in
-# a fraction of that keeps it full.
+# A store that rejects calls has a second of work queued; retrying sooner than in a
+# fraction of that keeps its queue full.
 MIN_REJECTION_PAUSE_MS = 100
 MAX_REJECTION_PAUSE_MS = 600
-# A transaction waits so many times as long as one call of it, the last one included.
+# The timeout of a transaction as a multiple of that of one call, including the last.
 TRANSACTION_TIMEOUT_FACTOR = 2
-# How long a call is kept after it was made again, as a late answer tells how slow the
+# A call stays open this long even after a retry, as a late response shows how slow the
 # store is.
 CALL_TIMEOUT_MS = 4000
-# Before the next ones are sent, those whose answers have just come get this share of
-# the longest of the last answers to make their next, or they would go by turns with
-# the others and wait twice as long. Nothing while the store is well.
+# The delay before the next group, as a fraction of the peak latency. In this time, the
+# callers whose responses have just arrived can submit their next transactions; without
+# it they would alternate with the others and wait twice as long. It is near zero while
+# the store is healthy.
 BATCH_DELAY_RATIO = 0.1
-# As long as a job gathers results.
+# Equal to the time for which a job collects results.
 MAX_BATCH_DELAY_MS = 50
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """The store has made a transaction.
+    """The store has applied a transaction.
 
-    :param version: the version of all rows that it wrote.
+    :param version: the new version of all rows written.
     """
 
     version: int
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """The store has not made a transaction, as a check did not hold.
+    """The store has not applied a transaction, because a check failed.
 
-    :param row_by_key: the rows that were checked, as they are, by table and key; a
-        row that does not exist is left out.
+    :param row_by_key: the current state of the checked rows, by table and key; rows
+        that do not exist are omitted.
     """
 
     row_by_key: dict[tuple[str, str], Row]
 
 
 class _PendingTransaction:
-    """A transaction that has no answer yet.
+    """A transaction without a response yet.
 
-    :ivar calls: how many calls that hold it are under way.
-    :ivar has_unknown_outcome: whether a call that held it ended without an answer.
+    :ivar calls: the number of calls in flight that include it.
+    :ivar has_unknown_outcome: whether a call that included it got no response.
     """
 
     __slots__ = (
@@ -102,27 +103,27 @@
 
     @property
     def may_be_applied(self):
-        """Whether it may have been made, or may yet be."""
+        """Whether the transaction may have been applied, or may yet be."""
         return bool(self.calls) or self.has_unknown_outcome
 
 
 class GroupCommit:
-    """Make transactions, several as one where an earlier one is under way.
+    """Sends transactions, combined into groups while an earlier one is in flight.
 
-    A transaction is made as a whole or not at all, as if it were sent alone; that
-    others are made with it shows nowhere. One that gets no answer is sent again beside
-    the first call, with what has come meanwhile. Its checks let only one of the two
-    land. One that the store turns away as it is busy is sent again after a pause, with
-    all others of this host.
+    Each transaction is atomic, as if it were sent alone; callers cannot observe the
+    grouping. One that gets no response is sent again, together with the transactions
+    that arrived meanwhile, while the first call stays open. Its checks ensure that
+    only one of the two calls is applied. One that a busy store rejects is sent again
+    after a pause, with all others of this host.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param send: a coroutine function that takes checks, writes and a timeout in
         milliseconds, sends them once and returns :class:`Applied` or
         :class:`Rejected`; raises :class:`~goldcrestmoor.errors.ServiceError`,
-        ``OVERLOADED`` when the store turned the call away.
-    :param timeout_ms: how long a transaction may take, in milliseconds; longer while
-        the store's answers take longer.
-    :param read_ms: gives how long reads take at present, in milliseconds.
+        ``OVERLOADED`` when the store rejected the call.
+    :param timeout_ms: the timeout of a transaction, in milliseconds; it is extended
+        while the store is slow.
+    :param read_ms: returns the current latency of reads, in milliseconds.
     """
 
     __slots__ = (
@@ -151,15 +152,15 @@
         self._tasks = TaskGroup()
 
     async def transact(self, checks, writes):
-        """Make all writes at once, if all checks hold.
+        """Apply all writes atomically if all checks hold.
 
         :param checks: a list of :class:`~goldcrestmoor.adapters.table.Check`.
         :param writes: a list of :class:`~goldcrestmoor.adapters.table.Write`.
-        :return: ``Committed``, or ``CheckFailed`` when it never will be made, or was
-            made by a call whose answer was lost: the row that it names then is as the
-            transaction has left it.
-        :raises ServiceError: as ``send`` does; ``OUTCOME_UNKNOWN`` when there was no
-            answer in time.
+        :return: ``Committed``, or ``CheckFailed`` when the transaction will never be
+            applied, or was applied by a call whose response was lost: the row that it
+            names is then in the state that the transaction has written.
+        :raises ServiceError: as ``send`` does; ``OUTCOME_UNKNOWN`` when no response
+            came in time.
         """
         transaction = _PendingTransaction(checks, writes)
         self._pending.append(transaction)
@@ -175,12 +176,12 @@
         remaining_ms = self._timeout_ms
         while remaining_ms > 0:
             await self._clock.sleep_ms(remaining_ms)
-            # The store may have turned out to be slow meanwhile.
+            # The store may have become slow meanwhile.
             slow_ms = TRANSACTION_TIMEOUT_FACTOR * self._timeout.wait_ms()
             elapsed_ms = self._clock.now_ms() - started_ms
             remaining_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
         _fail(
-            transaction, _error_kind(transaction), "The store gave no answer in time."
+            transaction, _error_kind(transaction), "The store did not respond in time."
         )
 
     def _start_sending(self):
@@ -189,7 +190,7 @@
             self._tasks.start(self._send_all())
 
     async def _send_all(self):
-        """Send what waits, one group after another, until nothing does."""
+        """Send the pending transactions in groups, one after another."""
         try:
             while self._pending:
                 await self._delay_batch()
@@ -209,7 +210,7 @@
             await self._clock.sleep_ms(wait_ms)
 
     async def _send_with_timeout(self, group):
-        """Send a group, and put it back after a while without an answer."""
+        """Send a group, and requeue it when no response comes in time."""
         call = self._tasks.start(self._call(group))
         timer = self._tasks.start(self._clock.sleep_ms(self._timeout.wait_ms()))
         await asyncio.wait({call, timer}, return_when=asyncio.FIRST_COMPLETED)
@@ -245,7 +246,7 @@
             self._handle_error(group, error)
 
     def _handle_error(self, group, error):
-        """Fail the transactions of a call that no other call holds, or send again."""
+        """Fail or requeue the transactions of a failed call that are in no other."""
         if error.kind is ErrorKind.OUTCOME_UNKNOWN:
             for transaction in group:
                 transaction.has_unknown_outcome = True
@@ -257,20 +258,20 @@
             _fail(transaction, _error_kind(transaction), error.message)
 
     def _without_calls(self, group):
-        """Return the transactions that no other call holds, or is to hold."""
+        """Return the transactions that are in no other call and not pending."""
         return [t for t in group if not t.calls and t not in self._pending]
 
     def _requeue(self, group):
-        """Send transactions again, before what waits, unless a call holds them."""
+        """Put transactions that are in no call ahead of the pending ones, and send."""
         self._pending = self._without_calls(group) + self._pending
         self._start_sending()
 
     def _next_group(self):
-        """Take the waiting transactions that fit together, in their order."""
+        """Remove and return pending transactions that fit into one group, in order."""
         group, rest, row_keys, entries, size = [], [], set(), 0, 0
         for transaction in self._pending:
             if transaction.answer.done():
-                # Its caller has gone.
+                # Its caller has stopped waiting.
                 continue
             fits = (
                 entries + transaction.entries <= MAX_ENTRIES
@@ -283,7 +284,7 @@
                 group.append(transaction)
                 entries += transaction.entries
                 size += transaction.size
-            # What waits for a row keeps its turn.
+            # Transactions on the same row keep their order.
             row_keys |= transaction.row_keys
         self._pending = rest
         return group
@@ -298,7 +299,7 @@
                 self._resolve_rejected(group, row_by_key)
 
     def _resolve_rejected(self, group, row_by_key):
-        """Refuse the transactions whose checks fail, and send the others again."""
+        """Reject the transactions whose checks fail, and send the others again."""
         passing = []
         for transaction in group:
             failed = _failed_check(transaction.checks, row_by_key)
@@ -310,12 +311,12 @@
             self._requeue(passing)
             return
         for transaction in passing:
-            text = "The store refused a condition that holds."
+            text = "The store rejected a condition that holds."
             _fail(transaction, ErrorKind.OUTCOME_UNKNOWN, text)
 
 
 def _failed_check(checks, row_by_key):
-    """Name the first check that does not hold, with the row as it is, or None."""
+    """Return the first failed check with the current row, or None."""
     for check in checks:
         row = row_by_key.get((check.table, check.key))
         if (row.version if row else 0) != check.version:
@@ -324,7 +325,7 @@
 
 
 def _error_kind(transaction):
-    """Return the kind of error of a transaction that has no answer."""
+    """Return the kind of error for a transaction without a response."""
     if transaction.may_be_applied:
         return ErrorKind.OUTCOME_UNKNOWN
     return ErrorKind.PLATFORM_UNAVAILABLE
--- a/goldcrestmoor/adapters/hosts.py
+++ b/goldcrestmoor/adapters/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts and upstreams, which lags."""
+"""The client of the platform's list of hosts and upstreams, which lags behind."""
 
 import enum
 
@@ -13,7 +13,7 @@
 
 
 class ListedKind(enum.StrEnum):
-    """What a list entry is."""
+    """The kind of a list entry."""
 
     HOST = "host"
     UPSTREAM = "upstream"
@@ -33,8 +33,8 @@
     :param kind: which of the two it is.
     :param zone: its availability zone.
     :param address: its IP address.
-    :param http_port: where it serves HTTP.
-    :param peer_port: where its peers reach it; 0 for an upstream.
+    :param http_port: the TCP port for HTTP.
+    :param peer_port: the TCP port for peer messages; 0 for an upstream.
     :param state: whether it takes new work.
     """
 
@@ -55,12 +55,12 @@
 
 
 class HostListClient:
-    """Fetch the list.
+    """Fetches the list.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
     __slots__ = ("_platform", "_etag", "_entries")
@@ -73,8 +73,8 @@
     async def fetch(self):
         """Return the list's entries.
 
-        A platform that gives entity tags is asked only for a list that differs
-        from the last one.
+        If the platform sends entity tags, an unchanged list is not transferred
+        again.
 
         :return: a list of :class:`ListedHost`, the same object while unchanged.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
--- a/goldcrestmoor/adapters/leaving.py
+++ b/goldcrestmoor/adapters/leaving.py
@@ -1,13 +1,13 @@
-"""How an upstream says in its own answers that it is leaving."""
+"""The response header by which an upstream reports that it is leaving."""
 
 STATE_HEADER = b"x-upstream-state"
 LEAVING = b"leaving"
 
 
 def says_leaving(headers):
-    """Tell whether an answer says that its upstream takes no new work any more.
+    """Return whether a response reports that its upstream accepts no new work.
 
-    :param headers: the answer's ``(name, value)`` byte pairs, names in lower case.
+    :param headers: the response's ``(name, value)`` byte pairs, names in lower case.
     """
     return any(
         name == STATE_HEADER and value.strip().lower() == LEAVING
--- a/goldcrestmoor/adapters/objects.py
+++ b/goldcrestmoor/adapters/objects.py
@@ -1,16 +1,16 @@
-"""The platform's object store: whole byte strings by key."""
+"""The client of the platform's object store, which stores byte strings by key."""
 
 from goldcrestmoor.adapters import platform
 from goldcrestmoor.adapters.platform import STATUS_NOT_FOUND, STATUS_OK, PlatformClient
 
 
 class ObjectClient:
-    """Put and get objects.
+    """Reads and writes objects.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
     __slots__ = ("_platform",)
@@ -19,11 +19,11 @@
         self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
 
     async def put(self, key, data):
-        """Store an object. Putting the same bytes again does no harm.
+        """Store an object; repeating the call with the same bytes is safe.
 
         :param key: the object's key.
         :param data: its bytes.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not stored,
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not stored,
             ``OUTCOME_UNKNOWN`` when it may have been.
         """
         await self._platform.write(
@@ -31,10 +31,10 @@
         )
 
     async def delete(self, key):
-        """Delete an object, if there is one.
+        """Delete an object, if it exists.
 
         :param key: the object's key.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not deleted, else
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not deleted, else
             ``OUTCOME_UNKNOWN``.
         """
         await self._platform.write(
--- a/goldcrestmoor/adapters/platform.py
+++ b/goldcrestmoor/adapters/platform.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's services, with what each failure means to the caller."""
+"""Calls to the platform's services, with failures mapped to service errors."""
 
 import email.utils
 import time
@@ -28,11 +28,11 @@
 
 
 class PlatformClient:
-    """One caller of the platform's services.
+    """Sends requests to the platform's services.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
     __slots__ = ("_http", "_settings", "_metrics")
@@ -43,13 +43,13 @@
         self._metrics = metrics
 
     async def read(self, target, statuses=(STATUS_OK, STATUS_NOT_FOUND), headers=()):
-        """Read, whatever happens on the way.
+        """Send a GET request.
 
         :param target: the path and query.
-        :param statuses: the statuses that are answers.
-        :param headers: further ``(name, value)`` byte pairs.
+        :param statuses: the expected statuses; any other is an error.
+        :param headers: additional ``(name, value)`` byte pairs.
         :return: the :class:`~goldcrestmoor.connection.http_client.HttpResponse`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` for any failure.
         """
         try:
             response = await self._send("GET", target, b"", True, headers)
@@ -62,16 +62,16 @@
         return response
 
     async def write(self, method, target, body, statuses, idempotent=False):
-        """Write at most once.
+        """Send a write, at most once.
 
         :param method: the HTTP method.
         :param target: the path and query.
         :param body: the body's bytes.
-        :param statuses: the statuses that are answers.
-        :param idempotent: whether writing twice does no harm.
+        :param statuses: the expected statuses; any other is an error.
+        :param idempotent: whether the write may be repeated safely.
         :return: the :class:`~goldcrestmoor.connection.http_client.HttpResponse`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not written, else
-            ``OUTCOME_UNKNOWN``.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not written,
+            else ``OUTCOME_UNKNOWN``.
         """
         try:
             response = await self._send(method, target, body, idempotent)
@@ -114,7 +114,7 @@
 
 
 def decode_read(data, decoder):
-    """Return the decoded body of a read.
+    """Return the decoded response body of a read.
 
     :param data: the body's bytes.
     :param decoder: a msgspec decoder.
@@ -127,7 +127,7 @@
 
 
 def decode_write(data, decoder):
-    """Return the decoded body of a write's answer.
+    """Return the decoded response body of a write.
 
     :param data: the body's bytes.
     :param decoder: a msgspec decoder.
@@ -140,27 +140,27 @@
 
 
 def path(*parts):
-    """Return a path of quoted parts.
+    """Return a path of percent-encoded segments.
 
-    :param parts: the parts, which may hold any character.
+    :param parts: the segments, which may contain any character.
     """
     return "".join("/" + quote(str(part), safe="") for part in parts)
 
 
 def unavailable(message, retry_after_ms=None):
-    """Return the error of a read that failed or of a write surely not made."""
+    """Return the error for a failed read or a write that certainly was not applied."""
     return ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, message, retry_after_ms)
 
 
 def outcome_unknown(message):
-    """Return the error of a write that may have been made."""
+    """Return the error for a write that may have been applied."""
     return ServiceError(ErrorKind.OUTCOME_UNKNOWN, message)
 
 
 def retry_after_ms(response):
-    """Return what an answer's Retry-After says, in milliseconds, or ``None``.
+    """Return the Retry-After time of a response in milliseconds, or ``None``.
 
-    :param response: the answer.
+    :param response: the response.
     """
     value = dict(response.headers).get(b"retry-after", b"").decode("latin-1")
     try:
--- a/goldcrestmoor/adapters/table.py
+++ b/goldcrestmoor/adapters/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service: rows with versions, and transactions on them."""
+"""The client of the platform's table service: versioned rows and transactions."""
 
 from urllib.parse import quote
 
@@ -14,10 +14,10 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as it was read.
+    """One row as read.
 
     :param key: its key within the table.
-    :param version: grows with each write of the row.
+    :param version: increases with each write of the row.
     :param value: its bytes.
     """
 
@@ -27,11 +27,11 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """What a table's feed says of one row.
+    """One entry of a table's change feed.
 
     :param key: the row's key within the table.
     :param version: the version of the write.
-    :param value: its new bytes; ``None`` when it was deleted.
+    :param value: the row's new bytes; ``None`` when it was deleted.
     """
 
     key: str
@@ -40,10 +40,10 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """An answer of a table's feed.
+    """One response of a table's feed.
 
-    :param changes: what was written, in order.
-    :param version: where to go on from.
+    :param changes: the changes, in order.
+    :param version: the version to continue from.
     """
 
     changes: list[Change]
@@ -51,13 +51,13 @@
 
 
 class HistoryTruncated(msgspec.Struct, frozen=True):
-    """The feed no longer knows what came after the version asked for."""
+    """The feed no longer has the changes after the requested version."""
 
 
 class Check(msgspec.Struct, frozen=True):
     """A condition of a transaction.
 
-    :param version: the version that the row must have; 0: it must not exist.
+    :param version: the version that the row must have; 0 if it must not exist.
     """
 
     table: str
@@ -77,7 +77,7 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The answer to a transaction that was made.
+    """The outcome of a transaction that was applied.
 
     :param version_by_key: the new version of each written row, by ``table/key``.
     """
@@ -86,9 +86,9 @@
 
 
 class CheckFailed(msgspec.Struct, frozen=True):
-    """The answer to a transaction that was not made.
+    """The outcome of a transaction that was not applied.
 
-    :param row: the row that failed its check, or ``None`` when there is none.
+    :param row: the row whose check failed, or ``None`` when it does not exist.
     :param table: that row's table.
     :param key: that row's key.
     """
@@ -118,12 +118,12 @@
 
 
 class TableClient:
-    """Read and write rows.
+    """Reads and writes rows.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
     __slots__ = ("_platform",)
@@ -155,12 +155,12 @@
         return platform.decode_read(response.body, _rows_decoder).rows
 
     async def transact(self, checks, writes):
-        """Make all writes at once, if all checks hold. Sent at most once.
+        """Apply all writes atomically if all checks hold. Sent at most once.
 
         :param checks: a list of :class:`Check`.
         :param writes: a list of :class:`Write`.
         :return: :class:`Committed` or :class:`CheckFailed`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not written,
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not written,
             ``OUTCOME_UNKNOWN`` when it may have been.
         """
         body = msgspec.json.encode(_Transaction(list(checks), list(writes)))
--- a/goldcrestmoor/adapters/weights.py
+++ b/goldcrestmoor/adapters/weights.py
@@ -1,4 +1,4 @@
-"""The platform's weight store, which limits how often it is asked."""
+"""The client of the platform's weight store, which limits the request rate."""
 
 from goldcrestmoor.adapters import platform
 from goldcrestmoor.adapters.platform import (
@@ -12,12 +12,12 @@
 
 
 class WeightStoreClient:
-    """Ask which weight versions are there.
+    """Checks which weight versions are stored.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
     __slots__ = ("_clock", "_platform", "_rate_limited_until_ms")
@@ -28,17 +28,20 @@
         self._rate_limited_until_ms = 0
 
     async def exists(self, model, version):
-        """Tell whether a model's weight version is stored.
+        """Return whether a model's weight version is stored.
 
-        Once the store has named a time to come back, it is not asked before.
+        After the store has rejected a request with a Retry-After time, no request is
+        sent before that time.
 
         :param model: the model's name.
         :param version: the weight version.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE``, with when to come back.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE``, with the time to retry after.
         """
         wait_ms = self._rate_limited_until_ms - self._clock.now_ms()
         if wait_ms > 0:
-            raise platform.unavailable("The weight store is closed to us.", wait_ms)
+            raise platform.unavailable(
+                "The rate limit of the weight store still applies.", wait_ms
+            )
         response = await self._platform.read(
             platform.path("weights", model, version),
             (STATUS_OK, STATUS_NOT_FOUND, STATUS_TOO_MANY),
@@ -47,4 +50,6 @@
             return response.status == STATUS_OK
         wait_ms = platform.retry_after_ms(response) or DEFAULT_RETRY_AFTER_MS
         self._rate_limited_until_ms = self._clock.now_ms() + wait_ms
-        raise platform.unavailable("The weight store's rate limit is met.", wait_ms)
+        raise platform.unavailable(
+            "The rate limit of the weight store is exceeded.", wait_ms
+        )
