--- a/goldcrestmoor/adapters/platform.py
+++ b/goldcrestmoor/adapters/platform.py
@@ -123,7 +123,7 @@
     try:
         return decoder.decode(data)
     except msgspec.MsgspecError as e:
-        raise unavailable("The platform's answer is malformed.") from e
+        raise unavailable("The platform's response is malformed.") from e
 
 
 def decode_write(data, decoder):
@@ -136,7 +136,7 @@
     try:
         return decoder.decode(data)
     except msgspec.MsgspecError as e:
-        raise outcome_unknown("The platform's answer is malformed.") from e
+        raise outcome_unknown("The platform's response is malformed.") from e
 
 
 def path(*parts):
--- a/goldcrestmoor/platform/__init__.py
+++ b/goldcrestmoor/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and nothing that decides."""
+"""The platform's protocols: names, formats and calls, without any decision logic."""
--- a/goldcrestmoor/platform/callers.py
+++ b/goldcrestmoor/platform/callers.py
@@ -1,4 +1,4 @@
-"""What the platform's clients send, and the forms of the answers that they get."""
+"""Requests of the platform's clients, and the formats of the responses to them."""
 
 from urllib.parse import parse_qs, unquote
 
@@ -12,11 +12,11 @@
 
 READY_PATH = "/readiness"
 WAIT_HEADER = b"wait-ms"
-# The client's guess at the number of output tokens.
+# The client's estimate of the number of output tokens.
 LENGTH_HINT_HEADER = "length-hint"
-# The longest that readers ask for.
+# The longest wait that readers request.
 MAX_WAIT_MS = 1000
-# A page of results is at most 1 MB; the JSON around the texts needs some of it.
+# A page of results is at most 1 MB, including the JSON around the output texts.
 MAX_PAGE_BYTES = 900_000
 _COMPLETED = "completed"
 _TERMINATED = "terminated"
@@ -26,7 +26,7 @@
     id: str
     path: str
     headers: dict[str, str]
-    # The prompt and the most output, together.
+    # The prompt and the maximum output, together.
     tokens: int = 0
     # Base64 on the wire.
     body: bytes = b""
@@ -36,7 +36,7 @@
 class _Job(msgspec.Struct, rename="camel"):
     items: list[_Item]
     model: str = ""
-    # Of the weights, not of the configuration.
+    # The weight version, not the configuration version.
     min_version: int = 0
     step: int = 0
     target_groups: int = 0
@@ -59,7 +59,7 @@
 
 
 def request_id(headers):
-    """Return the id that a client gave its request, or an empty string.
+    """Return the client's id for its request, or an empty string.
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
     """
@@ -67,7 +67,7 @@
 
 
 def deadline_ms(headers):
-    """Return how long a client waits, in milliseconds, or None.
+    """Return the time that a client waits, in milliseconds, or None.
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
     """
@@ -75,7 +75,7 @@
 
 
 def forwarded_headers(headers):
-    """Return the headers that a server gets as the client sent them.
+    """Return the client's headers that are forwarded to a server unchanged.
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
     """
@@ -83,7 +83,7 @@
 
 
 def job_call(method, path, query, headers):
-    """Return what a request asks of a batch job, or None when it asks nothing.
+    """Return the batch job call that a request makes, or None when it makes none.
 
     :param method: the HTTP method.
     :param path: the path.
@@ -117,13 +117,13 @@
 
 
 def decode_job(job_id, host, path, body):
-    """Return the batch job that a submission holds.
+    """Return the batch job of a submission.
 
-    :param job_id: the id of the submission, which is the job's.
-    :param host: the host that the client names.
+    :param job_id: the id of the submission, which becomes the job's id.
+    :param host: the Host that the client sent.
     :param path: the path that it was submitted to.
     :param body: the body.
-    :raises ServiceError: ``BAD_REQUEST`` when it holds none.
+    :raises ServiceError: ``BAD_REQUEST`` when it is malformed.
     """
     try:
         job = _job_decoder.decode(body)
@@ -158,9 +158,9 @@
 
 
 def encode_page(total, after, results):
-    """Return the body of an answer with results.
+    """Return the body of a response with results.
 
-    :param total: how many items the job has.
+    :param total: the number of items of the job.
     :param after: the position of the first result.
     :param results: a list of :class:`~goldcrestmoor.job.job.Result`.
     """
@@ -181,9 +181,9 @@
 
 
 def retry_headers(after_ms):
-    """Return the headers that tell a client when to come back.
+    """Return the headers that tell a client when to retry.
 
-    :param after_ms: the time in milliseconds; zero for no such advice.
+    :param after_ms: the time in milliseconds; zero for no header.
     """
     if after_ms <= 0:
         return []
--- a/goldcrestmoor/platform/records.py
+++ b/goldcrestmoor/platform/records.py
@@ -1,4 +1,4 @@
-"""Rows that the platform's operator, trainers and servers write, decoded."""
+"""Decoders of rows that the platform's operator, trainers and servers write."""
 
 import msgspec
 
@@ -36,13 +36,13 @@
     timeout_ms: float
     target_latency_ms: float = 0
     priority: int = 0
-    # One service for all requests; backends stand in its place where they are split.
+    # One service for all requests; replaced by backends where requests are split.
     service: str | None = None
     backends: list[_Backend] = []
-    # Servers that one client attempt may be sent to, the first one included.
+    # The number of servers that one client attempt may be sent to, including the first.
     attempts: int = 1
     resumable: bool = False
-    # In seconds, unlike the other times; both only on routes of batch jobs.
+    # In seconds, unlike the other times. Used with run_aim_ms only for batch jobs.
     keep_s: float = 0
     run_aim_ms: float = 0
     single_version: bool = False
@@ -58,7 +58,7 @@
 
 class _Service(msgspec.Struct, rename="camel"):
     name: str
-    # Connections that one server accepts from all callers together.
+    # The number of connections that one server accepts from all callers together.
     max_conns: int = 0
     engine: _Engine | None = None
 
@@ -79,7 +79,7 @@
 
 class _LoadedModel(msgspec.Struct):
     name: str
-    # Of the weights; the entry's own field of this name is the software's.
+    # The weight version; the field of this name in the entry is the software version.
     version: int
 
 
@@ -91,7 +91,7 @@
     slots: int
     cold_left_ms: float = 0
     models: list[_LoadedModel] = []
-    # Unix milliseconds of the server's start: tells two incarnations apart.
+    # Start time of the server in Unix milliseconds; distinguishes two incarnations.
     born: int | None = None
 
 
@@ -106,11 +106,11 @@
 
 
 def decode_configuration(value):
-    """Return the routes that the operator's newest configuration holds.
+    """Return the routes of the operator's newest configuration.
 
     :param value: the row's bytes.
     :return: a :class:`~goldcrestmoor.version.configuration.routes.RouteTable`.
-    :raises ValueError: when they hold no configuration.
+    :raises ValueError: when they are not a valid configuration.
     """
     document = _configuration_decoder.decode(value)
     limits = document.limits
@@ -128,12 +128,12 @@
 
 
 def decode_upstream(key, value):
-    """Return the server that a row of the list names.
+    """Return the server that a row of the server list describes.
 
     :param key: the row's key, which is the server's id.
-    :param value: the row's bytes, from whatever writer.
+    :param value: the row's bytes, from any writer.
     :return: a :class:`~goldcrestmoor.process.directory.ListedUpstream`.
-    :raises ValueError: when they name no server to use.
+    :raises ValueError: when they do not describe a usable server.
     """
     server = _server_decoder.decode(value)
     address, _, port = server.address.rpartition(":")
@@ -156,10 +156,10 @@
 
 
 def decode_target_version(value):
-    """Return the model and the weight version that its trainer names.
+    """Return the model and the target version that its trainer has set.
 
     :param value: the row's bytes.
-    :raises ValueError: when they name none.
+    :raises ValueError: when they are malformed.
     """
     target = _version_decoder.decode(value)
     return target.model, target.version
--- a/goldcrestmoor/platform/servers.py
+++ b/goldcrestmoor/platform/servers.py
@@ -1,4 +1,4 @@
-"""What the platform's servers are sent, and what their answers say."""
+"""Requests to the platform's servers, and the interpretation of their responses."""
 
 import msgspec
 
@@ -24,15 +24,15 @@
 NOT_RUN_HEADER = b"not-run"
 VERSION_HEADER = b"weight-versions"
 RESUME_HEADER = b"last-event-id"
-# The name of the line that an event begins with when the version changes there.
+# The field that an event begins with when the weight version changes at that event.
 EVENT_FIELDS = EventFields(version="weight-versions")
 
-# Set anew for each server, whatever the caller sent.
+# Set for each server, replacing the caller's values.
 _REPLACED_HEADERS = frozenset((INSTANCE_HEADER, DEADLINE_HEADER, b"content-length"))
 _JSON = [(b"content-type", b"application/json")]
-# A report needs no slot and comes within a round trip.
+# A report needs no slot and takes one round trip.
 REPORT_TIMEOUT_MS = 500
-# Workers that leave orders unanswered say no more after this.
+# A worker that has not responded to an order by then never will.
 ORDER_TIMEOUT_MS = 1500
 
 
@@ -43,9 +43,9 @@
 
 class _Report(msgspec.Struct):
     models: list[_LoadedModel]
-    # Whether an order is being carried out.
+    # Whether a load order is in progress.
     busy: bool = False
-    # How many orders this incarnation has accepted, unlike the list's own counter.
+    # The number of orders accepted by this incarnation, unlike the list's counter.
     seq: int = 0
     running: int = 0
 
@@ -64,11 +64,11 @@
 
 
 def request_headers(headers, upstream, remaining_ms):
-    """Return a caller's headers as a server gets them.
+    """Return a caller's headers as sent to a server.
 
     :param headers: the caller's ``(name, value)`` byte pairs, names in lower case.
     :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
-    :param remaining_ms: how long the answer is of use; None where that is open.
+    :param remaining_ms: the time until the caller's deadline; None without one.
     """
     pairs = [pair for pair in headers if pair[0] not in _REPLACED_HEADERS]
     pairs.append((INSTANCE_HEADER, upstream.name.encode()))
@@ -78,7 +78,7 @@
 
 
 def resume_header(event_id):
-    """Return the header that asks for a stream's events after a given one.
+    """Return the header that resumes a stream after a given event.
 
     :param event_id: the last event's id.
     """
@@ -86,7 +86,7 @@
 
 
 def item_headers(item, host):
-    """Return the headers that run an item of a batch job.
+    """Return the request headers for an item of a batch job.
 
     :param item: the :class:`~goldcrestmoor.job.job.Item`.
     :param host: the host of its route.
@@ -100,9 +100,9 @@
 
 
 def ran(status, headers):
-    """Tell whether the request of an answer was run.
+    """Return whether the request of a response was run.
 
-    :param status: the answer's status.
+    :param status: the response status.
     :param headers: its ``(name, value)`` byte pairs, names in lower case.
     """
     if status == STATUS_MISDIRECTED or any(n == NOT_RUN_HEADER for n, _ in headers):
@@ -111,10 +111,10 @@
 
 
 def is_genuine(request_id, status, headers):
-    """Tell whether an answer is the server's own, to this very request.
+    """Return whether a response was sent by the server itself for this request.
 
     :param request_id: the request's id, as it was sent.
-    :param status: the answer's status.
+    :param status: the response status.
     :param headers: its ``(name, value)`` byte pairs, names in lower case.
     """
     value_by_name = dict(headers)
@@ -129,17 +129,17 @@
 
 
 def weight_version(headers):
-    """Return the weight version that an answer's first event is made under.
+    """Return the weight version of the first event of a response.
 
     :param headers: ``(name, value)`` byte pairs, names in lower case.
-    :return: the version, or None when the answer states none.
+    :return: the version, or None when the response has none.
     """
     value = dict(headers).get(VERSION_HEADER, b"").strip()
     return int(value) if value.isdigit() else None
 
 
 class EngineControlClient:
-    """Ask engines for their state, and order weight versions.
+    """Requests state reports from engines and sends them load orders.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     """
@@ -150,11 +150,11 @@
         self._http = http
 
     async def report(self, upstream):
-        """Return what an engine says of itself, some hundred milliseconds late.
+        """Return an engine's state report, which lags by some hundred milliseconds.
 
         :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
         :return: an :class:`~goldcrestmoor.version.weights.engine_report.EngineReport`.
-        :raises ServiceError: when it does not answer, or not as an engine does.
+        :raises ServiceError: when there is no valid response.
         """
         headers = request_headers((), upstream, None)
         response = await self._send(
@@ -178,10 +178,10 @@
         :param version: the weight version.
         :param mode: a :class:`~goldcrestmoor.version.weights.engine_report.LoadMode`.
         :param holder: this host.
-        :param fencing: the number of the lease that the order is given under.
-        :param accepted: how many orders the engine has accepted, as it reported.
+        :param fencing: the fencing number of the lease under which it is ordered.
+        :param accepted: the number of accepted orders in the engine's last report.
         :return: ``Ordered`` or ``OrderRefused``.
-        :raises ServiceError: when the order may or may not be carried out.
+        :raises ServiceError: when the order may or may not be executed.
         """
         order = _Order("version", model, version, mode.value, holder, fencing, accepted)
         headers = _JSON + request_headers((), upstream, None)
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: rows, transactions, feeds and objects."""
+"""The client of the platform's store: rows, transactions, change feeds, objects."""
 
 import base64
 import logging
@@ -19,12 +19,12 @@
 STATUS_CHECK_FAILED = 412
 STATUS_TOO_MANY = 429
 STATUS_UNAVAILABLE = 503
-# Added to a feed's own wait before its connection counts as silent.
+# Added to the wait of a feed request before its connection is considered unresponsive.
 FEED_MARGIN_MS = 700
-# A hundred times what the store needs for an answer when it is well.
+# A hundred times the latency of a healthy store.
 PROBE_TIMEOUT_MS = 400
-# All rows lie in the empty part. Parts of the store fail one by one, and with one
-# part there is one that matters; its 200 transactions a second are enough.
+# All rows are in the part with the empty name. Parts of the store fail independently,
+# so with one part, only one can fail; its 200 transactions per second are enough.
 PART = ""
 _JSON = [(b"content-type", b"application/json")]
 
@@ -34,16 +34,16 @@
     key: str
     part: str = ""
     value: str = ""
-    # From one counter over all tables, so it grows, but not by one.
+    # From one counter for all tables, so it increases, but not by one.
     ver: int = 0
     deleted: bool = False
 
 
 class _Answer(msgspec.Struct):
     rows: list[_Row] = []
-    # The newest version of the whole store, not of a row.
+    # The newest version in the whole store, not that of a row.
     ver: int = 0
-    # A steady clock of the store, unrelated to the time of day.
+    # The store's monotonic clock, unrelated to the time of day.
     nowMs: int = 0  # noqa: N815
     hasMore: bool = False  # noqa: N815
 
@@ -78,16 +78,16 @@
 
 
 class StoreClient:
-    """Speak to the platform's store.
+    """Sends requests to the platform's store.
 
-    Takes the place of the table service's and the object store's clients.
+    Replaces the clients of the table service and of the object store.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param address: the store's IP address.
     :param port: its TCP port.
-    :param timeout_ms: how long a call may take, in milliseconds.
-    :param metrics: counts calls by what they were and how they ended.
+    :param timeout_ms: the timeout of a call, in milliseconds.
+    :param metrics: counts calls by kind and outcome.
     """
 
     __slots__ = (
@@ -122,30 +122,30 @@
 
     @property
     def is_relayed(self):
-        """Whether calls go to a host that passes them on."""
+        """Whether calls go through a host that relays them."""
         return self._relay is not None
 
     def use_relay(self, address, port, prefix):
-        """Send calls to a host that passes them on, from now on.
+        """Send all further calls through a host that relays them.
 
-        :param address: its IP address.
-        :param port: its TCP port.
-        :param prefix: what it expects before the path of a call.
+        :param address: the relay's IP address.
+        :param port: the relay's TCP port.
+        :param prefix: the path prefix of relayed calls.
         """
         self._relay = (address, port, prefix)
 
     def rejection_age_ms(self):
-        """Return the time since the store last turned a call away, or None."""
+        """Return the time since the store last rejected a direct call, or None."""
         if self._rejected_at_ms is None:
             return None
         return self._clock.now_ms() - self._rejected_at_ms
 
     def latency_ms(self):
-        """Return how long the store takes for an answer at present, in milliseconds."""
+        """Return the current response latency of the store, in milliseconds."""
         return self._response_times.typical_ms()
 
     async def probe_direct(self):
-        """Ask the store without a detour, and take none any more if it answers."""
+        """Call the store directly, and stop using the relay if it responds."""
         try:
             await self._http.request(
                 *self._target,
@@ -154,14 +154,14 @@
                 timeout_ms=PROBE_TIMEOUT_MS,
             )
         except ServiceError as e:
-            log.debug("The store is still not reached from here: %s", e)
+            log.debug("The store is still not reachable directly: %s", e)
             return
         self._relay = None
 
     async def relay(self, method, target, headers, body, timeout_ms):
-        """Send another host's call to the store, once, and return the answer.
+        """Relay another host's call to the store, once, and return the response.
 
-        :param timeout_ms: how long it may take.
+        :param timeout_ms: the timeout, in milliseconds.
         :return: an :class:`~goldcrestmoor.connection.http_client.HttpResponse`.
         :raises ServiceError: those of the ``HttpClient``.
         """
@@ -170,7 +170,10 @@
         )
 
     def now_ms(self):
-        """Return the store's steady clock as last heard, or None before that."""
+        """Return the store's monotonic clock, or None before its first response.
+
+        The offset to the local clock is that of the last response.
+        """
         if self._clock_offset_ms is None:
             return None
         return self._clock.now_ms() + self._clock_offset_ms
@@ -190,19 +193,19 @@
         return None
 
     async def scan(self, table, prefix="", start=None, max_rows=None):
-        """Return the rows whose keys have a prefix, in the keys' order.
+        """Return the rows whose keys have a prefix, in key order.
 
         :param table: the table's name.
         :param prefix: the keys' prefix.
-        :param start: the first key that is wanted; all when left out.
-        :param max_rows: how many rows to return at most; all when left out.
+        :param start: the first key to return; all keys by default.
+        :param max_rows: the maximum number of rows; all rows by default.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         rows, _ = await self._scan(table, prefix, start, max_rows)
         return rows
 
     async def snapshot(self, table):
-        """Return all rows of a table, and the version to follow its feed from.
+        """Return all rows of a table, and the version from which to follow its feed.
 
         :param table: the table's name.
         :return: a list of :class:`Row` and the version.
@@ -211,10 +214,10 @@
         return await self._scan(table, "", None)
 
     async def changes(self, table, after, wait_ms):
-        """Return what was written to a table, waiting until there is something.
+        """Return the changes of a table, waiting for the next one if there are none.
 
         :param table: the table's name.
-        :param after: the version to go on from.
+        :param after: the version to continue from.
         :param wait_ms: how long to wait, in milliseconds.
         :return: :class:`Changes` or :class:`HistoryTruncated`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
@@ -236,13 +239,15 @@
         return Changes(changes, max(after, answer.ver))
 
     async def transact(self, checks, writes):
-        """Make all writes at once, if all checks hold; maybe with others of this host.
+        """Apply all writes atomically if all checks hold.
+
+        The call may be combined with other transactions of this host.
 
         :param checks: a list of :class:`~goldcrestmoor.adapters.table.Check`.
         :param writes: a list of :class:`~goldcrestmoor.adapters.table.Write`.
-        :return: ``Committed``, or ``CheckFailed``, also when a call whose answer was
-            lost has made it.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not written,
+        :return: ``Committed``, or ``CheckFailed``, also when an earlier call whose
+            response was lost has applied it.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not written,
             ``OUTCOME_UNKNOWN`` when it may have been or may yet be.
         """
         return await self._commits.transact(checks, writes)
@@ -264,7 +269,7 @@
             "transact", "POST", "/rows-tx", body, _JSON, timeout_ms
         )
         if response.status == STATUS_TOO_MANY:
-            text = "The store has too much to do."
+            text = "The store is overloaded."
             raise ServiceError(ErrorKind.OVERLOADED, text)
         _check_written(response)
         answer = self._decode(response, _answer_decoder, ErrorKind.OUTCOME_UNKNOWN)
@@ -273,11 +278,11 @@
         return Applied(answer.ver)
 
     async def put(self, key, data):
-        """Store an object, unless there is one; the same bytes always have one key.
+        """Store an object unless the key exists; a key always has the same bytes.
 
         :param key: the object's key.
         :param data: its bytes.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when surely not stored,
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when certainly not stored,
             ``OUTCOME_UNKNOWN`` when it may have been.
         """
         target = "/blob-put/" + quote(key, safe="")
@@ -298,7 +303,7 @@
         return response.body
 
     async def delete(self, key):
-        """Delete an object, if there is one.
+        """Delete an object, if it exists.
 
         :param key: the object's key.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` or ``OUTCOME_UNKNOWN``.
@@ -319,7 +324,7 @@
                 **{"from": first or None},
             )
             answer = await self._read("scan", f"/rows-get?{query}", _answer_decoder)
-            # A page begins with the last row of the one before it.
+            # Each page begins with the last row of the previous one.
             last_key = rows[-1].key if rows else None
             new = [row for row in answer.rows if row.key != last_key]
             rows += [_row(row) for row in new]
@@ -357,7 +362,7 @@
             self._metrics.store_calls.labels(call, e.code).inc()
             if method == "GET" or e.answer.ran is Ran.NOT_RUN:
                 raise _unavailable(e.message) from e
-            text = f"A write to the store was not answered: {e.message}"
+            text = f"A write to the store got no response: {e.message}"
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, text) from e
         self._metrics.store_calls.labels(call, str(response.status)).inc()
         is_rejected = response.status in (STATUS_TOO_MANY, STATUS_UNAVAILABLE)
@@ -371,14 +376,14 @@
         try:
             answer = decoder.decode(response.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as e:
-            raise ServiceError(kind, "The store's answer is malformed.") from e
+            raise ServiceError(kind, "The store's response is malformed.") from e
         if isinstance(answer, _Answer) and answer.nowMs:
             self._clock_offset_ms = answer.nowMs - self._clock.now_ms()
         return answer
 
 
 def _check_written(response):
-    """Raise the error of a write that the store has not made, or may not have."""
+    """Raise the error for a write that was not, or may not have been, applied."""
     status = response.status
     if status in (STATUS_TOO_MANY, STATUS_UNAVAILABLE):
         raise _unavailable(f"answered {status}")
