--- a/test/fault_proxy.py
+++ b/test/fault_proxy.py
@@ -132,9 +132,9 @@
 
         :param prefixes: the address prefixes; none takes the block back.
         """
-        held = [p for p in self._pairs if self._is_blocked(p)]
+        blocked = [p for p in self._pairs if self._is_blocked(p)]
         self._blocked_prefixes = set(prefixes)
-        for pair in held:
+        for pair in blocked:
             if not self._is_blocked(pair):
                 for writer in self._pairs[pair]:
                     writer.transport.abort()
@@ -163,30 +163,30 @@
         self._pairs[pair] = (writer,)
         self._source_by_pair[pair] = writer.get_extra_info("peername")[0]
         if self._is_blocked(pair):
-            await self._hold(pair, reader, writer)
+            await self._discard_input(pair, reader, writer)
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self.target_address, self.target_port
             )
         except OSError:
-            self._forget(pair)
+            self._remove(pair)
             writer.transport.abort()
             return
-        self._pairs[pair] = (writer, far_writer)
+        self._pairs[pair] = (writer, target_writer)
         try:
             await asyncio.gather(
-                self._pump(pair, UP, reader, far_writer),
-                self._pump(pair, DOWN, far_reader, writer),
+                self._pump(pair, UP, reader, target_writer),
+                self._pump(pair, DOWN, target_reader, writer),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             for each in self._pairs[pair]:
                 each.transport.abort()
-            self._forget(pair)
+            self._remove(pair)
 
-    async def _hold(self, pair, reader, writer):
+    async def _discard_input(self, pair, reader, writer):
         """Take a blocked source's bytes and answer nothing."""
         try:
             while await reader.read(READ_BYTES):
@@ -195,15 +195,15 @@
             pass
         finally:
             writer.transport.abort()
-            self._forget(pair)
+            self._remove(pair)
 
-    def _forget(self, pair):
+    def _remove(self, pair):
         self._pairs.pop(pair, None)
         self._source_by_pair.pop(pair, None)
         self._silent_pairs.discard(pair)
 
     async def _pump(self, pair, direction, reader, writer):
-        passed = 0
+        forwarded = 0
         while data := await reader.read(READ_BYTES):
             faults = self._faults_by_direction[direction]
             if faults.delay_ms:
@@ -213,12 +213,12 @@
             if silent or self._is_blocked(pair):
                 continue
             bound = faults.cut_after_bytes
-            if bound is not None and passed + len(data) >= bound:
-                writer.write(data[: bound - passed])
+            if bound is not None and forwarded + len(data) >= bound:
+                writer.write(data[: bound - forwarded])
                 await writer.drain()
                 raise ConnectionAbortedError
             writer.write(data + faults.suffix)
-            passed += len(data)
+            forwarded += len(data)
             self.bytes_by_direction[direction] += len(data)
             await writer.drain()
         if pair not in self._silent_pairs and not writer.is_closing():
--- a/test/test_adaptive_timeout.py
+++ b/test/test_adaptive_timeout.py
@@ -10,28 +10,28 @@
         self.read_ms = 5
         self.timeout = AdaptiveTimeout(300, 500, lambda: self.read_ms)
 
-    def test_a_store_that_is_well_is_asked_again_soon(self):
+    def test_a_healthy_store_gets_the_shortest_timeout(self):
         for _ in range(20):
             self.timeout.record_response(10)
         self.assertEqual(self.timeout.wait_ms(), 300)
 
-    def test_a_slow_store_gets_the_time_that_its_last_answers_took(self):
+    def test_a_slow_store_gets_twice_its_peak_latency(self):
         self.timeout.record_response(900)
         self.assertEqual(self.timeout.wait_ms(), 1800)
 
-    def test_slow_reads_tell_of_it_before_the_first_answer(self):
+    def test_slow_reads_raise_the_timeout_before_the_first_response(self):
         """A second of others' writes is waiting, and a read takes a quarter of one."""
         self.read_ms = 240
         self.assertGreaterEqual(self.timeout.wait_ms(), 1000 + 300 + 240)
 
-    def test_an_outage_is_probed_at_a_steady_pace(self):
+    def test_the_timeout_is_bounded_in_an_outage(self):
         for _ in range(10):
             self.timeout.record_timeout()
         self.assertEqual(self.timeout.wait_ms(), 500)
         self.timeout.record_response(10)
         self.assertEqual(self.timeout.wait_ms(), 300)
 
-    def test_a_slow_spell_is_forgotten(self):
+    def test_the_peak_latency_decays(self):
         self.timeout.record_response(900)
         for _ in range(10):
             self.timeout.record_response(10)
@@ -43,20 +43,20 @@
         self.times = ResponseTimes()
 
     def record_all(self, *elapsed_ms):
-        for each_ms in elapsed_ms:
-            self.times.record(each_ms, 500)
+        for latency_ms in elapsed_ms:
+            self.times.record(latency_ms, 500)
 
-    def test_nothing_is_known_at_first(self):
+    def test_the_latency_is_zero_before_the_first_response(self):
         self.assertEqual(self.times.typical_ms(), 0)
 
-    def test_a_feed_without_news_waits_and_is_not_slow(self):
+    def test_a_feed_without_changes_is_not_slow(self):
         self.record_all(505, 506, 504, 507)
         self.assertEqual(self.times.typical_ms(), 4)
 
-    def test_a_feed_with_news_late_in_its_wait_is_not_slow(self):
+    def test_a_feed_with_late_changes_is_not_slow(self):
         self.record_all(450, 6, 300, 505)
         self.assertLessEqual(self.times.typical_ms(), 6)
 
-    def test_a_slow_store_shows_in_all_answers(self):
+    def test_a_slow_store_shows_in_all_responses(self):
         self.record_all(240, 260, 745, 310)
         self.assertGreaterEqual(self.times.typical_ms(), 240)
--- a/test/test_group_commit.py
+++ b/test/test_group_commit.py
@@ -34,35 +34,35 @@
         self.row_by_key = {}
         self.sent = []
         self.rejected = 0
-        self.free_ms = clock.now_ms()
-        self.is_silent = False
-        self.loses_answers = False
+        self.idle_at_ms = clock.now_ms()
+        self.is_unresponsive = False
+        self.loses_responses = False
 
     async def send(self, checks, writes, timeout_ms):
         self.sent.append((checks, writes))
-        if self.is_silent:
+        if self.is_unresponsive:
             await self.clock.sleep_ms(timeout_ms)
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
-        made = asyncio.ensure_future(self.make(checks, writes))
+        applying = asyncio.ensure_future(self.apply(checks, writes))
         timer = asyncio.ensure_future(self.clock.sleep_ms(timeout_ms))
-        await asyncio.wait({made, timer}, return_when=asyncio.FIRST_COMPLETED)
-        if not made.done():
+        await asyncio.wait({applying, timer}, return_when=asyncio.FIRST_COMPLETED)
+        if not applying.done():
             # It is made all the same.
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
         timer.cancel()
-        if self.loses_answers:
+        if self.loses_responses:
             await self.clock.sleep_ms(timeout_ms)
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
-        return made.result()
+        return applying.result()
 
-    async def make(self, checks, writes):
+    async def apply(self, checks, writes):
         now_ms = self.clock.now_ms()
-        queued_ms = max(0, self.free_ms - now_ms)
+        queued_ms = max(0, self.idle_at_ms - now_ms)
         if queued_ms > MAX_QUEUED_MS:
             self.rejected += 1
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, "answered 429")
-        self.free_ms = now_ms + queued_ms + self.duration_ms
-        await self.clock.sleep_ms(self.free_ms - now_ms)
+        self.idle_at_ms = now_ms + queued_ms + self.duration_ms
+        await self.clock.sleep_ms(self.idle_at_ms - now_ms)
         for check in checks:
             row = self.row_by_key.get((check.table, check.key))
             if (row.version if row else 0) != check.version:
@@ -96,11 +96,11 @@
         checks, writes = [Check("t", key, version)], [Write("t", key, value)]
         return asyncio.ensure_future(self.commits.transact(checks, writes))
 
-    async def test_a_slow_store_is_not_pressed_by_the_loops_of_one_host(self):
+    async def test_a_slow_store_is_not_overloaded_by_retry_loops(self):
         """Three hosts with four writers each, for ten seconds."""
         self.read_ms = 240
 
-        async def write_for_good(commits, key):
+        async def write_until_cancelled(commits, key):
             version = 0
             while True:
                 try:
@@ -122,7 +122,7 @@
             for writer in range(4):
                 key = f"{host}/{writer}"
                 done[key] = 0
-                tasks.append(asyncio.ensure_future(write_for_good(commits, key)))
+                tasks.append(asyncio.ensure_future(write_until_cancelled(commits, key)))
         # Some of the first calls are made twice, until answers tell of a slow store.
         await self.clock.advance(3_000)
         rejected, before = self.store.rejected, dict(done)
@@ -134,14 +134,14 @@
         progress = [done[key] - before[key] for key in done]
         self.assertGreaterEqual(min(progress), 8)
 
-    async def test_a_transaction_alone_is_sent_at_once_and_by_itself(self):
+    async def test_a_single_transaction_is_sent_at_once(self):
         task = self.begin("a")
         await settle()
         self.assertEqual(len(self.store.sent), 1)
         await self.clock.advance(SLOW_MS)
         self.assertEqual(await task, Committed({"t/a": 1}))
 
-    async def test_what_comes_meanwhile_is_sent_as_one(self):
+    async def test_transactions_submitted_during_a_call_are_combined(self):
         self.store.duration_ms = BUSY_MS
         tasks = [self.begin("a")]
         await settle()
@@ -154,7 +154,7 @@
             [{"t/a": 1}, {"t/b": 2}, {"t/c": 2}, {"t/d": 2}],
         )
 
-    async def test_one_that_is_refused_takes_no_other_with_it(self):
+    async def test_a_rejected_transaction_does_not_affect_its_group(self):
         first = self.begin("a")
         await self.clock.advance(SLOW_MS)
         await first
@@ -165,7 +165,7 @@
         self.assertEqual(rejected, CheckFailed(Row("a", 1, b"v"), "t", "a"))
         self.assertIsInstance(await tasks[2], Committed)
 
-    async def test_two_writes_of_one_row_are_never_sent_as_one(self):
+    async def test_writes_of_the_same_row_are_never_combined(self):
         """The second waits, and what comes after it keeps behind."""
         self.store.duration_ms = BUSY_MS
         tasks = [self.begin("a"), self.begin("a"), self.begin("b")]
@@ -175,40 +175,40 @@
         self.assertIsInstance(await tasks[0], Committed)
         self.assertIsInstance(await tasks[1], CheckFailed)
 
-    async def test_a_group_keeps_to_what_the_store_takes(self):
+    async def test_a_group_respects_the_limits_of_the_store(self):
         tasks = [self.begin(f"{number:03d}") for number in range(MAX_ENTRIES)]
         await self.clock.advance(5 * SLOW_MS)
         for checks, writes in self.store.sent:
             self.assertLessEqual(len(checks) + len(writes), MAX_ENTRIES)
         self.assertTrue(all(task.done() for task in tasks))
 
-    async def test_one_without_an_answer_is_sent_again_with_what_has_come(self):
+    async def test_a_transaction_without_a_response_is_sent_again(self):
         self.store.duration_ms = 5
-        self.store.is_silent = True
+        self.store.is_unresponsive = True
         lost = self.begin("a")
         await settle()
-        self.store.is_silent = False
+        self.store.is_unresponsive = False
         other = self.begin("b")
         await self.clock.advance(MIN_RESPONSE_TIMEOUT_MS + 100)
         self.assertTrue(lost.done() and other.done())
         self.assertEqual(await lost, Committed({"t/a": 1}))
         self.assertEqual(await other, Committed({"t/b": 1}))
 
-    async def test_one_whose_answer_is_lost_is_found_made(self):
+    async def test_a_transaction_whose_response_is_lost_is_found_applied(self):
         """It has landed, so that its check fails when it is sent again."""
         self.store.duration_ms = 5
-        self.store.loses_answers = True
+        self.store.loses_responses = True
         lost = self.begin("a")
         await self.clock.advance(50)
-        self.store.loses_answers = False
+        self.store.loses_responses = False
         other = self.begin("b")
         await self.clock.advance(MIN_RESPONSE_TIMEOUT_MS + 200)
         self.assertTrue(lost.done() and other.done())
         self.assertEqual(await lost, CheckFailed(Row("a", 1, b"v"), "t", "a"))
         self.assertIsInstance(await other, Committed)
 
-    async def test_an_outage_ends_every_wait_in_time(self):
-        self.store.is_silent = True
+    async def test_a_transaction_times_out_in_an_outage(self):
+        self.store.is_unresponsive = True
         task = self.begin("a")
         await self.clock.advance(TIMEOUT_MS + 50)
         self.assertTrue(task.done())
@@ -218,17 +218,17 @@
         # It has not been sent more often than an outage asks for.
         self.assertLessEqual(len(self.store.sent), 5)
 
-    async def test_the_end_of_an_outage_is_noticed_soon(self):
+    async def test_the_end_of_an_outage_is_detected_in_time(self):
         self.store.duration_ms = 5
-        self.store.is_silent = True
+        self.store.is_unresponsive = True
         task = self.begin("a")
         await self.clock.advance(TIMEOUT_MS - MAX_RESPONSE_TIMEOUT_MS - 100)
-        self.store.is_silent = False
+        self.store.is_unresponsive = False
         await self.clock.advance(MAX_RESPONSE_TIMEOUT_MS)
         self.assertTrue(task.done())
         self.assertIsInstance(await task, Committed)
 
-    async def test_one_whose_caller_has_gone_is_not_sent(self):
+    async def test_a_cancelled_transaction_is_not_sent(self):
         self.store.duration_ms = BUSY_MS
         first = self.begin("a")
         await settle()
@@ -240,13 +240,13 @@
         self.assertEqual(row_keys, [["a"], ["c"]])
         self.assertTrue(first.done() and third.done())
 
-    async def test_a_fault_in_this_process_leaves_nobody_waiting(self):
-        self.store.make = None
+    async def test_an_internal_error_fails_the_transaction(self):
+        self.store.apply = None
         with self.assertLogs("goldcrestmoor.commits"), self.assertRaises(ServiceError):
             await self.begin("a")
 
-    async def test_all_of_a_group_hear_of_its_failure(self):
-        self.store.free_ms += 2 * MAX_QUEUED_MS
+    async def test_a_failed_call_fails_its_whole_group(self):
+        self.store.idle_at_ms += 2 * MAX_QUEUED_MS
         for task in [self.begin("a"), self.begin("b"), self.begin("c")]:
             with self.assertRaises(ServiceError) as caught:
                 await task
--- a/test/test_health.py
+++ b/test/test_health.py
@@ -22,7 +22,7 @@
         self.clock = FakeClock()
         self.health = UpstreamHealth(clock=self.clock)
 
-    def fail(self, upstream, times=health.EJECTION_FAILURES):
+    def record_failures(self, upstream, times=health.EJECTION_FAILURES):
         for _ in range(times):
             self.health.record(upstream, False)
 
@@ -30,17 +30,17 @@
         for _ in range(health.MIN_LATENCIES):
             self.health.record(upstream, True, latency_ms)
 
-    def test_failures_in_a_row_take_an_upstream_out(self):
-        self.fail("lm-1", health.EJECTION_FAILURES - 1)
+    def test_consecutive_failures_eject_an_upstream(self):
+        self.record_failures("lm-1", health.EJECTION_FAILURES - 1)
         self.health.record("lm-1", True, 10)
-        self.fail("lm-1", health.EJECTION_FAILURES - 1)
+        self.record_failures("lm-1", health.EJECTION_FAILURES - 1)
         self.assertEqual(self.health.usable(POOL), POOL)
-        self.fail("lm-1", 1)
+        self.record_failures("lm-1", 1)
         self.assertNotIn("lm-1", self.health.usable(POOL))
         self.assertIn("3 failures in a row", self.health.reason("lm-1"))
 
-    def test_one_probe_at_a_time_brings_it_back(self):
-        self.fail("lm-1")
+    def test_one_probe_at_a_time_reinstates_an_upstream(self):
+        self.record_failures("lm-1")
         self.assertFalse(self.health.try_probe("lm-1"))
         self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
@@ -50,38 +50,38 @@
         self.assertEqual(self.health.usable(POOL), POOL)
         self.assertEqual(self.health.reason("lm-1"), "")
 
-    def test_failed_probes_lengthen_the_time_out_up_to_a_bound(self):
-        self.fail("lm-1")
+    def test_failed_probes_lengthen_the_ejection_up_to_a_bound(self):
+        self.record_failures("lm-1")
         waits_ms = []
         for _ in range(12):
             started_ms = self.clock.ms
             while not self.health.try_probe("lm-1"):
                 self.clock.ms += 100
             waits_ms.append(self.clock.ms - started_ms)
-            self.fail("lm-1", 1)
+            self.record_failures("lm-1", 1)
         self.assertGreater(waits_ms[-1], waits_ms[0])
         self.assertLessEqual(max(waits_ms), health.MAX_EJECTION_MS + 100)
 
-    def test_failures_of_requests_sent_before_do_not_lengthen_it(self):
-        self.fail("lm-1", 50)
+    def test_failures_of_earlier_requests_do_not_lengthen_the_ejection(self):
+        self.record_failures("lm-1", 50)
         self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
 
-    def test_a_lost_probe_does_not_hold_it_for_good(self):
-        self.fail("lm-1")
+    def test_a_lost_probe_does_not_block_later_probes(self):
+        self.record_failures("lm-1")
         self.clock.ms += health.MIN_EJECTION_MS
         self.assertTrue(self.health.try_probe("lm-1"))
         self.clock.ms += health.PROBE_TIMEOUT_MS
         self.assertTrue(self.health.try_probe("lm-1"))
 
-    def test_never_more_than_a_third_of_a_pool_is_out(self):
+    def test_at_most_a_third_of_a_pool_is_excluded(self):
         for upstream in POOL:
-            self.fail(upstream)
+            self.record_failures(upstream)
         self.assertEqual(len(self.health.usable(POOL)), 4)
         self.assertEqual(len(self.health.usable(POOL[:2])), 1)
         self.assertEqual(self.health.usable(POOL[:1]), POOL[:1])
 
-    def test_a_slow_one_is_judged_against_its_peers(self):
+    def test_a_slow_upstream_is_compared_with_its_pool(self):
         for upstream in POOL:
             self.answer(upstream, 2000)
         self.assertEqual(self.health.usable(POOL), POOL)
@@ -98,7 +98,7 @@
         self.health.record("lm-2", True, 120)
         self.assertEqual(self.health.usable(POOL), POOL)
 
-    def test_latencies_are_compared_again_after_a_while(self):
+    def test_latencies_are_compared_again_after_the_interval(self):
         for upstream in POOL:
             self.answer(upstream, 100)
         self.assertEqual(self.health.usable(POOL), POOL)
@@ -119,21 +119,21 @@
         self.clock = FakeClock()
         self.budget = RetryBudget(clock=self.clock, percent=10)
 
-    def test_retries_are_a_tenth_of_requests_and_a_floor(self):
+    def test_retries_are_limited_to_a_tenth_of_requests_plus_one(self):
         allowed = 0
         for _ in range(1000):
             self.budget.record_request("lm-1")
             allowed += self.budget.try_retry("lm-1")
         self.assertIn(allowed, (100, 101))
 
-    def test_the_floor_lets_one_through_now_and_then(self):
+    def test_one_retry_is_allowed_per_floor_interval(self):
         self.assertTrue(self.budget.try_retry("lm-1"))
         self.assertFalse(self.budget.try_retry("lm-1"))
         self.assertTrue(self.budget.try_retry("lm-2"))
         self.clock.ms += retry_budget.FLOOR_INTERVAL_MS
         self.assertTrue(self.budget.try_retry("lm-1"))
 
-    def test_no_burst_is_saved_up(self):
+    def test_saved_retries_are_bounded(self):
         for _ in range(10_000):
             self.budget.record_request("lm-1")
         allowed = sum(self.budget.try_retry("lm-1") for _ in range(1000))
--- a/test/test_http_stalls.py
+++ b/test/test_http_stalls.py
@@ -14,9 +14,9 @@
 from test import _common
 
 TIMEOUT_MS = 200
-STALL_S = 0.6
+PAUSE_S = 0.6
 # The answers come while the process stands still.
-PAUSE_S = 0.1
+SEND_INTERVAL_S = 0.1
 
 
 class ThreadServer:
@@ -41,7 +41,7 @@
                 if connection.recv(65536):
                     self._on_request()
                 for chunk in self._chunks:
-                    time.sleep(PAUSE_S)
+                    time.sleep(SEND_INTERVAL_S)
                     connection.sendall(chunk)
                 connection.recv(1)
         except OSError:
@@ -52,30 +52,30 @@
         self._socket.close()
 
 
-class StallTest(unittest.IsolatedAsyncioTestCase):
+class ProcessPauseTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         # The loop reports slow callbacks, which this test makes on purpose.
-        asyncio.get_running_loop().slow_callback_duration = 2 * STALL_S
+        asyncio.get_running_loop().slow_callback_duration = 2 * PAUSE_S
         self.limits = _common.make_settings().limits
         self.limits.connect_timeout_ms = TIMEOUT_MS
         self.limits.progress_timeout_ms = TIMEOUT_MS
         self.client = HttpClient(clock=Clock(), limits=self.limits)
         self.addAsyncCleanup(self.client.close)
 
-    def start(self, *chunks, stall_after_s=None):
+    def start(self, *chunks, pause_after_s=None):
         """Start a server, and stall this process a while after its request has come.
 
-        :param stall_after_s: how long after; no stall when left out.
+        :param pause_after_s: how long after; no stall when left out.
         """
         loop = asyncio.get_running_loop()
 
-        def stall_later():
-            if stall_after_s is not None:
+        def pause_later():
+            if pause_after_s is not None:
                 loop.call_soon_threadsafe(
-                    loop.call_later, stall_after_s, time.sleep, STALL_S
+                    loop.call_later, pause_after_s, time.sleep, PAUSE_S
                 )
 
-        server = ThreadServer(chunks, stall_later)
+        server = ThreadServer(chunks, pause_later)
         self.addCleanup(server.close)
         return server.port
 
@@ -84,43 +84,43 @@
             "127.0.0.1", port, "GET", "/x", timeout_ms=timeout_ms
         )
 
-    async def test_an_answer_that_came_during_a_stall_is_delivered(self):
+    async def test_a_response_received_during_a_pause_is_delivered(self):
         head = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n"
-        port = self.start(head, b"ab", stall_after_s=0)
+        port = self.start(head, b"ab", pause_after_s=0)
         self.assertEqual((await self.get(port)).body, b"ab")
 
-    async def test_a_stream_goes_on_after_a_stall(self):
+    async def test_a_stream_continues_after_a_pause(self):
         head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
         # The head is there by then, and the body comes during the stall.
         port = self.start(
             head,
             b"2\r\nab\r\n",
             b"2\r\ncd\r\n0\r\n\r\n",
-            stall_after_s=1.5 * PAUSE_S,
+            pause_after_s=1.5 * SEND_INTERVAL_S,
         )
         response = await self.get(port, timeout_ms=30_000)
         self.assertEqual(response.body, b"abcd")
 
-    async def test_silence_is_still_silence_after_a_stall(self):
-        port = self.start(stall_after_s=0)
+    async def test_an_idle_connection_times_out_after_a_pause(self):
+        port = self.start(pause_after_s=0)
         started_s = time.monotonic()
         with self.assertRaises(ServiceError) as caught:
             await self.get(port)
         self.assertEqual(caught.exception.kind, ErrorKind.UPSTREAM_TIMEOUT)
-        self.assertLess(time.monotonic() - started_s, STALL_S + 2 * TIMEOUT_MS / 1000)
+        self.assertLess(time.monotonic() - started_s, PAUSE_S + 2 * TIMEOUT_MS / 1000)
 
-    async def test_a_connection_that_was_made_during_a_stall_is_used(self):
+    async def test_a_connection_established_during_a_pause_is_used(self):
         port = self.start(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nab")
         request = asyncio.create_task(self.get(port, timeout_ms=30_000))
         # Runs right after the handshake has begun.
-        asyncio.get_running_loop().call_soon(time.sleep, STALL_S)
+        asyncio.get_running_loop().call_soon(time.sleep, PAUSE_S)
         self.assertEqual((await request).body, b"ab")
 
-    async def test_a_connection_that_is_reset_at_once_was_never_reached(self):
+    async def test_a_connection_reset_at_once_is_unreachable(self):
         port = self.start()
         real_open = http_connection._open
 
-        async def open_and_lose(*args):
+        async def open_and_abort(*args):
             reader, writer = await real_open(*args)
             writer.transport.abort()
             # The transport closes its socket in the next turn of the loop.
@@ -128,7 +128,7 @@
             return reader, writer
 
         with (
-            mock.patch.object(http_connection, "_open", open_and_lose),
+            mock.patch.object(http_connection, "_open", open_and_abort),
             self.assertRaises(ServiceError) as caught,
         ):
             await self.get(port)
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -53,7 +53,7 @@
             await awaitable
         self.assertEqual(caught.exception.kind, kind)
 
-    async def test_calls_are_answered_errors_travel_and_big_answers_fit(self):
+    async def test_replies_errors_and_large_replies_reach_the_caller(self):
         async def handler(sender, message):
             if message.text == "refuse":
                 raise ServiceError(ErrorKind.OVERLOADED, "Full.", 77)
@@ -71,7 +71,7 @@
             await self.assert_fails(ErrorKind.INTERNAL, self.call("break"))
         self.assertGreater(self.a.bytes_sent_by_class["Ask"], len(BIG_TEXT))
 
-    async def test_a_late_answer_reaches_no_other_call(self):
+    async def test_a_late_reply_reaches_no_other_call(self):
         release = asyncio.Event()
 
         async def handler(sender, message):
@@ -99,7 +99,7 @@
         await _common.eventually(lambda: received)
         self.assertEqual(received, [("host-a", "hello")])
 
-    async def test_malformed_frames_are_counted_and_kill_nothing(self):
+    async def test_malformed_frames_are_counted_and_break_nothing(self):
         self.b.register(Ask, self.echo)
         await self.call("before")
         link = self.a._links_by_host_id["host-b"]
@@ -111,7 +111,7 @@
         )
         self.assertEqual(count, 3)
 
-    async def test_only_the_fleet_key_is_admitted(self):
+    async def test_only_the_fleet_key_is_accepted(self):
         received = []
 
         async def handler(sender, message):
@@ -119,13 +119,13 @@
 
         self.b.register(Ask, handler)
         stranger = [key.decode() for key in zmq.curve_keypair()]
-        await self.post_with_keys(*stranger, "stranger")
+        await self.send_with_keys(*stranger, "stranger")
         fleet = (_common.FLEET_PUBLIC_KEY, _common.FLEET_SECRET_KEY)
-        await self.post_with_keys(*fleet, "daemon")
+        await self.send_with_keys(*fleet, "daemon")
         await _common.eventually(lambda: received)
         self.assertEqual(received, ["daemon"])
 
-    async def post_with_keys(self, public_key, secret_key, text):
+    async def send_with_keys(self, public_key, secret_key, text):
         socket = zmq.asyncio.Context.instance().socket(zmq.DEALER)
         self.addCleanup(socket.close, 0)
         socket.curve_publickey = public_key.encode()
@@ -137,13 +137,13 @@
         parts = frames.encode(frames.KIND_SEND, call_id, headers, Ask(text))
         await socket.send_multipart(parts)
 
-    async def test_a_silent_link_is_dialled_anew(self):
+    async def test_an_unresponsive_link_is_reconnected(self):
         self.b.register(Ask, self.echo)
         await self.call("first")
         old = self.a._links_by_host_id["host-b"]
-        silent = zmq.asyncio.Context.instance().socket(zmq.ROUTER)
-        self.addCleanup(silent.close, 0)
-        port = silent.bind_to_random_port("tcp://127.0.0.1")
+        unresponsive = zmq.asyncio.Context.instance().socket(zmq.ROUTER)
+        self.addCleanup(unresponsive.close, 0)
+        port = unresponsive.bind_to_random_port("tcp://127.0.0.1")
         old._socket.disconnect(old._socket.last_endpoint)
         old._socket.connect(f"tcp://127.0.0.1:{port}")
         timeout_ms = peer_link.UNRESPONSIVE_MS
@@ -162,10 +162,10 @@
         await self.call("first")
         address, port = self.endpoints["host-b"]
         await self.b.close()
-        again = await self.start_links(
+        restarted = await self.start_links(
             "host-b", host={"address": address, "peer_port": port}
         )
-        again.register(Ask, self.echo)
+        restarted.register(Ask, self.echo)
 
         async def answered():
             try:
--- a/test/test_platform_names.py
+++ b/test/test_platform_names.py
@@ -38,15 +38,15 @@
             for match in pattern.finditer(line)
         ]
 
-    def test_no_module_outside_the_folder_knows_them(self):
+    def test_no_module_outside_the_package_uses_them(self):
         paths = [p for p in PACKAGE.rglob("*.py") if FOLDER not in p.parents]
         self.assertGreater(len(paths), 100)
         self.assertEqual(self.found_in(paths), [])
 
-    def test_the_folder_does_know_them(self):
+    def test_the_package_uses_them(self):
         self.assertTrue(self.found_in(FOLDER.glob("*.py")))
 
-    def test_only_the_daemon_that_wires_it_imports_the_folder(self):
+    def test_only_the_front_daemon_imports_the_package(self):
         importing = [
             str(path.relative_to(PACKAGE))
             for path in PACKAGE.rglob("*.py")
--- a/test/test_table.py
+++ b/test/test_table.py
@@ -60,7 +60,7 @@
             clock=Clock(), http=self.http, settings=self.settings.platform
         )
 
-    async def fail(self, coroutine):
+    async def error_kind(self, coroutine):
         with self.assertRaises(ServiceError) as caught:
             await coroutine
         return caught.exception.kind
@@ -76,7 +76,7 @@
             [Check("t", key, version)], [Write("t", key, value)]
         )
 
-    async def test_rows_come_back_and_versions_grow_by_one(self):
+    async def test_rows_are_stored_and_versions_increase_by_one(self):
         await self.start()
         key = "a/b ?#ő"
         self.assertIsNone(await self.table.get("t", key))
@@ -100,42 +100,42 @@
         answer = await self.put("b", b"2", 3)
         self.assertEqual(answer, CheckFailed(None, "t", "b"))
 
-    async def test_a_row_made_again_has_no_version_twice(self):
+    async def test_a_recreated_row_gets_a_new_version(self):
         await self.start()
         await self.put("a", b"1", 0)
         await self.put("a", None, 1)
         self.assertIsNone(await self.table.get("t", "a"))
         self.assertEqual(await self.put("a", b"1", 0), Committed({"t/a": 3}))
 
-    async def test_a_lost_answer_is_unknown_and_written_once(self):
+    async def test_a_lost_response_is_an_unknown_outcome_and_written_once(self):
         await self.start()
         await self.control("lose_answers", count=1)
-        kind = await self.fail(self.put("a", b"1", 0))
+        kind = await self.error_kind(self.put("a", b"1", 0))
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(await self.table.get("t", "a"), Row("a", 1, b"1"))
         self.assertEqual((await self.control("stats"))["writes"], 1)
 
-    async def test_a_refused_write_is_surely_not_written(self):
+    async def test_a_refused_connection_means_not_written(self):
         await self.start()
         await self.put("a", b"1", 0)
         await self.control("outage", on=True, mode="refuse")
-        kind = await self.fail(self.put("a", b"2", 1))
+        kind = await self.error_kind(self.put("a", b"2", 1))
         self.assertEqual(kind, ErrorKind.PLATFORM_UNAVAILABLE)
-        kind = await self.fail(self.table.get("t", "a"))
+        kind = await self.error_kind(self.table.get("t", "a"))
         self.assertEqual(kind, ErrorKind.PLATFORM_UNAVAILABLE)
         await self.control("outage", on=False)
         self.assertEqual((await self.table.get("t", "a")).version, 1)
 
-    async def test_a_hanging_platform_is_unknown_to_writes_only(self):
+    async def test_a_timeout_is_an_unknown_outcome_for_writes_only(self):
         await self.start()
         await self.control("outage", on=True, mode="hang")
         self.settings.platform.timeout_ms = 600
-        kind = await self.fail(self.put("a", b"1", 0))
+        kind = await self.error_kind(self.put("a", b"1", 0))
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
-        kind = await self.fail(self.table.scan("t", ""))
+        kind = await self.error_kind(self.table.scan("t", ""))
         self.assertEqual(kind, ErrorKind.PLATFORM_UNAVAILABLE)
 
-    async def test_only_an_answer_that_says_so_means_not_written(self):
+    async def test_only_an_explicit_response_means_not_written(self):
         answers = [
             (Response(503, b'{"written": false}'), ErrorKind.PLATFORM_UNAVAILABLE),
             (Response(503, b'{"written": true}'), ErrorKind.OUTCOME_UNKNOWN),
@@ -155,25 +155,26 @@
         self.addAsyncCleanup(server.close)
         for current, kind in answers:  # noqa: B007 (the handler reads it)
             with self.subTest(status=current.status, body=current.body):
-                self.assertEqual(await self.fail(self.put("a", b"1", 0)), kind)
+                self.assertEqual(await self.error_kind(self.put("a", b"1", 0)), kind)
         self.assertEqual(
-            await self.fail(self.table.get("t", "a")), ErrorKind.PLATFORM_UNAVAILABLE
+            await self.error_kind(self.table.get("t", "a")),
+            ErrorKind.PLATFORM_UNAVAILABLE,
         )
 
 
 class OtherServicesTest(PlatformTestCase):
-    async def test_objects_come_back(self):
+    async def test_objects_are_stored(self):
         await self.start()
         objects = self.make(ObjectClient)
         self.assertIsNone(await objects.get("a/b"))
         await objects.put("a/b", b"\x00\xff")
         self.assertEqual(await objects.get("a/b"), b"\x00\xff")
         await self.control("lose_answers", count=1)
-        kind = await self.fail(objects.put("c", b"1"))
+        kind = await self.error_kind(objects.put("c", b"1"))
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.assertEqual(await objects.get("c"), b"1")
 
-    async def test_the_host_list_is_typed_and_lags(self):
+    async def test_the_host_list_is_decoded_and_lags(self):
         entry = {
             "id": "lm-1",
             "kind": "upstream",
@@ -209,7 +210,7 @@
         await self.control("hosts", hosts=[entry])
         self.assertEqual([host.id for host in await hosts.fetch()], ["a"])
 
-    async def test_the_weight_store_is_not_asked_before_its_time(self):
+    async def test_the_weight_store_is_not_called_before_retry_after(self):
         await self.start(weights={"m": [1]}, weight_reads_per_s=2)
         weights = self.make(WeightStoreClient)
         self.assertTrue(await weights.exists("m", 1))
