--- a/test/_table.py
+++ b/test/_table.py
@@ -1,11 +1,11 @@
-"""A table service in memory, with outages and lost answers."""
+"""An in-memory table service with outages and lost responses."""
 
 from goldcrestmoor.adapters import table as table_service
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
 
 class FakeTable:
-    """The rows, and what goes wrong with the next requests."""
+    """The rows, and the faults of the next requests."""
 
     def __init__(self):
         self.rows_by_name = {}
@@ -34,7 +34,7 @@
 
 
 class FakeTableClient:
-    """One host's client; while the host is frozen, no answer reaches it."""
+    """One host's client; it gets no responses while the host is frozen."""
 
     def __init__(self, table, clock):
         self._table = table
--- a/test/fault_proxy.py
+++ b/test/fault_proxy.py
@@ -1,10 +1,10 @@
-"""A small TCP proxy that injects faults, in the process or as one of its own.
+"""A small TCP proxy that injects faults, in-process or as a separate process.
 
 Each link forwards one listening port to one target. As a process it takes
 ``{"address", "control_port", "links": [{"name", "address", "port",
-"target_address", "target_port"}]}`` and is driven by
+"target_address", "target_port"}]}`` and is controlled by
 ``POST /links/{name}/{fault}`` on the control port, with the fault's arguments as
-a JSON object; ``GET /links`` gives the counts.
+a JSON object; ``GET /links`` returns the counts.
 """
 
 import asyncio
@@ -34,10 +34,10 @@
 class Link:
     """One listening port and its target.
 
-    :param target_address: the address that is forwarded to.
-    :param target_port: its port.
+    :param target_address: the address to forward to.
+    :param target_port: the port to forward to.
     :param address: the address to listen on.
-    :param port: the port to listen on; any free one when zero.
+    :param port: the port to listen on; any free port when zero.
     """
 
     __slots__ = (
@@ -70,30 +70,30 @@
         self._blocked_prefixes = set()
 
     async def start(self):
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._serve, self.address, self.port, backlog=1024
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self):
-        """Stop listening and cut every connection."""
+        """Stop listening and abort every connection."""
         if self._server is not None:
             self._server.close()
             self._server = None
         self.cut()
 
     def any_open(self, pairs):
-        """Tell whether any of the connections that :meth:`cut` returned is open."""
+        """Return whether any of the connections that :meth:`cut` returned is open."""
         return any(pair in self._pairs for pair in pairs)
 
     def delay(self, ms, direction=BOTH):
-        """Hold back each piece of data."""
+        """Delay each read of data."""
         for faults in self._select(direction):
             faults.delay_ms = ms
 
     def cut(self):
-        """Cut the connections that are open, and return their numbers."""
+        """Abort the open connections, and return their numbers."""
         pairs = list(self._pairs)
         for writers in list(self._pairs.values()):
             for writer in writers:
@@ -101,36 +101,36 @@
         return pairs
 
     def cut_after(self, n, direction=DOWN):
-        """Cut each connection after its first n bytes in a direction."""
+        """Abort each connection after its first n bytes in a direction."""
         for faults in self._select(direction):
             faults.cut_after_bytes = n
 
     def silence(self, direction=BOTH):
-        """Drop all bytes, on old and new connections, and keep them open."""
+        """Drop all bytes on existing and new connections, but keep them open."""
         for faults in self._select(direction):
             faults.is_silent = True
 
     def silence_old(self):
-        """Drop all bytes of the connections that are open; new ones work."""
+        """Drop all bytes on the open connections; new ones work."""
         self._silent_pairs.update(self._pairs)
 
     def inject(self, data, direction=DOWN):
-        """Write bytes that no end sent on the connections that are open."""
+        """Write bytes that neither end sent to the open connections."""
         for writers in self._pairs.values():
             writers[0 if direction == DOWN else -1].write(data)
 
     def append(self, data, direction=DOWN):
-        """Add bytes to each piece of data that passes."""
+        """Append bytes to each read of data that is forwarded."""
         for faults in self._select(direction):
             faults.suffix = data
 
     def block(self, prefixes):
-        """Drop all bytes from and to the sources whose addresses begin so.
+        """Drop all bytes from and to sources with the given address prefixes.
 
-        Connections that lost bytes are cut when the block is taken back, since no
-        retransmission mends them here.
+        Connections that lost bytes are aborted when the block is removed, since the
+        proxy cannot retransmit them.
 
-        :param prefixes: the address prefixes; none takes the block back.
+        :param prefixes: the address prefixes; an empty sequence removes the block.
         """
         blocked = [p for p in self._pairs if self._is_blocked(p)]
         self._blocked_prefixes = set(prefixes)
@@ -144,11 +144,11 @@
         return any(source.startswith(prefix) for prefix in self._blocked_prefixes)
 
     async def refuse(self):
-        """Refuse new connections and cut the open ones."""
+        """Refuse new connections and abort the open ones."""
         await self.close()
 
     async def heal(self):
-        """Take back every fault; connections gone silent stay silent."""
+        """Remove the faults; connections of :meth:`silence_old` stay silent."""
         self._faults_by_direction = {UP: Faults(), DOWN: Faults()}
         if self._server is None:
             await self.start()
@@ -187,7 +187,7 @@
             self._remove(pair)
 
     async def _discard_input(self, pair, reader, writer):
-        """Take a blocked source's bytes and answer nothing."""
+        """Read and discard the bytes of a blocked source."""
         try:
             while await reader.read(READ_BYTES):
                 pass
@@ -252,7 +252,7 @@
             await link.close()
 
     async def handle(self, request):
-        """Answer one request on the control port."""
+        """Handle one request on the control port."""
         if request.path == "/links":
             return server.json_response(
                 {
@@ -274,7 +274,7 @@
 
 
 async def run(options):
-    """Serve the links and the control port for good."""
+    """Serve the links and the control port until cancelled."""
     proxy = FaultProxy(options["links"])
     await proxy.start()
     control = server.Server(proxy.handle, options["address"], options["control_port"])
--- a/test/test_adaptive_timeout.py
+++ b/test/test_adaptive_timeout.py
@@ -1,4 +1,4 @@
-"""How long answers are waited for, replayed at stores that are well, slow or silent."""
+"""The adaptive timeout for stores that are healthy, slow or unresponsive."""
 
 import unittest
 
@@ -20,7 +20,7 @@
         self.assertEqual(self.timeout.wait_ms(), 1800)
 
     def test_slow_reads_raise_the_timeout_before_the_first_response(self):
-        """A second of others' writes is waiting, and a read takes a quarter of one."""
+        """A second of other writes is queued, and a read takes a quarter of that."""
         self.read_ms = 240
         self.assertGreaterEqual(self.timeout.wait_ms(), 1000 + 300 + 240)
 
--- a/test/test_fault_proxy.py
+++ b/test/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy injects what it is told to, also as a process."""
+"""The fault proxy injects the requested faults, also as a process."""
 
 import asyncio
 import json
@@ -58,7 +58,7 @@
         self.assertEqual(response.status, 200)
 
     async def get(self, **options):
-        """Return the answer's body, or the kind of the error."""
+        """Return the response body, or the kind of the error."""
         try:
             response = await self.http.request(
                 ADDRESS, self.port, "GET", "/", idempotent=True, **options
--- a/test/test_group_commit.py
+++ b/test/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Transactions of one host that are sent as one, replayed at a slow store."""
+"""Group commit of one host's transactions, with a slow or faulty store."""
 
 import asyncio
 import unittest
@@ -15,17 +15,17 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from test._fleet import ManualClock, settle
 
-# Shorter than an answer is waited for, so that nothing is sent twice.
+# Shorter than the response timeout, so that nothing is sent twice.
 BUSY_MS = 100
-# Sixty times its usual five milliseconds.
+# Sixty times the usual five milliseconds.
 SLOW_MS = 300
 TIMEOUT_MS = 1500
-# The store turns calls away once so much is waiting.
+# The store rejects calls once this much work is queued.
 MAX_QUEUED_MS = 1000
 
 
 class SerialStore:
-    """Makes transactions one after another, and turns away what would wait long."""
+    """Applies transactions serially, and rejects calls when its queue is full."""
 
     def __init__(self, clock, duration_ms=SLOW_MS):
         self.clock = clock
@@ -42,17 +42,17 @@
         self.sent.append((checks, writes))
         if self.is_unresponsive:
             await self.clock.sleep_ms(timeout_ms)
-            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
+            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "timed out")
         applying = asyncio.ensure_future(self.apply(checks, writes))
         timer = asyncio.ensure_future(self.clock.sleep_ms(timeout_ms))
         await asyncio.wait({applying, timer}, return_when=asyncio.FIRST_COMPLETED)
         if not applying.done():
-            # It is made all the same.
-            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
+            # It is applied nevertheless.
+            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "timed out")
         timer.cancel()
         if self.loses_responses:
             await self.clock.sleep_ms(timeout_ms)
-            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "fell silent")
+            raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, "timed out")
         return applying.result()
 
     async def apply(self, checks, writes):
@@ -92,7 +92,7 @@
         )
 
     def begin(self, key, version=0, value=b"v"):
-        """Start to write one row of the table ``t`` under its version."""
+        """Start to write one row of the table ``t``, checking its version."""
         checks, writes = [Check("t", key, version)], [Write("t", key, value)]
         return asyncio.ensure_future(self.commits.transact(checks, writes))
 
@@ -108,7 +108,7 @@
                         [Check("t", key, version)], [Write("t", key, b"v")]
                     )
                     if isinstance(answer, CheckFailed):
-                        # A write without an answer has landed.
+                        # A write without a response has been applied.
                         version = answer.row.version
                         continue
                     version = answer.version_by_key[f"t/{key}"]
@@ -123,14 +123,14 @@
                 key = f"{host}/{writer}"
                 done[key] = 0
                 tasks.append(asyncio.ensure_future(write_until_cancelled(commits, key)))
-        # Some of the first calls are made twice, until answers tell of a slow store.
+        # Some of the first calls are sent twice, until responses show that it is slow.
         await self.clock.advance(3_000)
         rejected, before = self.store.rejected, dict(done)
         await self.clock.advance(9_000)
         for task in tasks:
             task.cancel()
         self.assertEqual(self.store.rejected, rejected)
-        # Thirty transactions of the store, of which each writer is in every third.
+        # The store applies thirty transactions; each writer is part of every third.
         progress = [done[key] - before[key] for key in done]
         self.assertGreaterEqual(min(progress), 8)
 
@@ -166,7 +166,7 @@
         self.assertIsInstance(await tasks[2], Committed)
 
     async def test_writes_of_the_same_row_are_never_combined(self):
-        """The second waits, and what comes after it keeps behind."""
+        """The second waits, and later writes of that row stay behind it."""
         self.store.duration_ms = BUSY_MS
         tasks = [self.begin("a"), self.begin("a"), self.begin("b")]
         await self.clock.advance(4 * SLOW_MS)
@@ -195,7 +195,7 @@
         self.assertEqual(await other, Committed({"t/b": 1}))
 
     async def test_a_transaction_whose_response_is_lost_is_found_applied(self):
-        """It has landed, so that its check fails when it is sent again."""
+        """It was applied, so that its check fails when it is sent again."""
         self.store.duration_ms = 5
         self.store.loses_responses = True
         lost = self.begin("a")
@@ -215,7 +215,7 @@
         with self.assertRaises(ServiceError) as caught:
             await task
         self.assertIs(caught.exception.kind, ErrorKind.OUTCOME_UNKNOWN)
-        # It has not been sent more often than an outage asks for.
+        # The number of calls during an outage is bounded.
         self.assertLessEqual(len(self.store.sent), 5)
 
     async def test_the_end_of_an_outage_is_detected_in_time(self):
--- a/test/test_health.py
+++ b/test/test_health.py
@@ -1,4 +1,4 @@
-"""Failing and slow upstreams are taken out and tried again; retries are few."""
+"""Failing and slow upstreams are ejected and probed; retries are limited."""
 
 import unittest
 
--- a/test/test_http_client.py
+++ b/test/test_http_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client gives whole answers or errors, and knows what was not run."""
+"""The HTTP client returns complete responses or errors, and tells what was not run."""
 
 import asyncio
 import contextlib
@@ -23,10 +23,10 @@
 
 
 class RawServer:
-    """Answer each request on a connection with scripted bytes.
+    """Answers each request on a connection with scripted bytes.
 
-    ``script(number)`` gives, for the nth request, a list of byte strings and
-    ``"close"``, ``"silence"`` or nothing at the end.
+    ``script(number)`` returns, for the nth request, a list of byte strings, which may
+    end with ``"close"`` or ``"silence"``.
     """
 
     def __init__(self, script):
@@ -53,7 +53,7 @@
 
 
 class StoppableClock(Clock):
-    """A clock that runs by itself until a test moves it."""
+    """A clock that runs until a test sets it."""
 
     __slots__ = ("stopped_ms",)
 
@@ -190,7 +190,7 @@
         writers[0].write(unsolicited)
         self.assertEqual((await self.get(port, "POST")).body, BODY)
         self.assertEqual(len(writers), 2)
-        # A loop that has turned may have read the stray bytes by itself.
+        # After some loop iterations, the transport may have read the unsolicited bytes.
         writers[1].write(unsolicited)
         for _ in range(20):
             await asyncio.sleep(0.005)
@@ -254,7 +254,7 @@
         raw, port = await self.start_raw(lambda _: [LENGTH_RESPONSE, "close"])
         for n in range(1, 20):
             self.assertEqual((await self.get(port)).status, 200)
-            # The close reaches this end before the next request is written.
+            # The close arrives before the next request is written.
             await _common.eventually(
                 lambda: all(
                     not connection.is_usable()
--- a/test/test_http_stalls.py
+++ b/test/test_http_stalls.py
@@ -1,4 +1,4 @@
-"""A process that stood still takes what came meanwhile before it gives up."""
+"""After a pause, a process handles what it received meanwhile before it times out."""
 
 import asyncio
 import socket
@@ -15,15 +15,15 @@
 
 TIMEOUT_MS = 200
 PAUSE_S = 0.6
-# The answers come while the process stands still.
+# The responses arrive while the process is paused.
 SEND_INTERVAL_S = 0.1
 
 
 class ThreadServer:
-    """Answers from a thread, which goes on while the test's loop stands still.
+    """Responds from a thread, which keeps running while the test's loop is paused.
 
-    :param chunks: what it sends, with a pause before each.
-    :param on_request: called in the thread once a request has come.
+    :param chunks: the bytes to send, with an interval before each.
+    :param on_request: called in the thread once a request has arrived.
     """
 
     def __init__(self, chunks, on_request):
@@ -54,7 +54,7 @@
 
 class ProcessPauseTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        # The loop reports slow callbacks, which this test makes on purpose.
+        # The loop reports slow callbacks, which this test causes on purpose.
         asyncio.get_running_loop().slow_callback_duration = 2 * PAUSE_S
         self.limits = _common.make_settings().limits
         self.limits.connect_timeout_ms = TIMEOUT_MS
@@ -63,9 +63,9 @@
         self.addAsyncCleanup(self.client.close)
 
     def start(self, *chunks, pause_after_s=None):
-        """Start a server, and stall this process a while after its request has come.
+        """Start a server, and pause this process after the request has arrived.
 
-        :param pause_after_s: how long after; no stall when left out.
+        :param pause_after_s: the time after the request; no pause by default.
         """
         loop = asyncio.get_running_loop()
 
@@ -91,7 +91,7 @@
 
     async def test_a_stream_continues_after_a_pause(self):
         head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-        # The head is there by then, and the body comes during the stall.
+        # The head has arrived by then, and the body arrives during the pause.
         port = self.start(
             head,
             b"2\r\nab\r\n",
@@ -112,7 +112,7 @@
     async def test_a_connection_established_during_a_pause_is_used(self):
         port = self.start(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nab")
         request = asyncio.create_task(self.get(port, timeout_ms=30_000))
-        # Runs right after the handshake has begun.
+        # Runs right after the TCP handshake has started.
         asyncio.get_running_loop().call_soon(time.sleep, PAUSE_S)
         self.assertEqual((await request).body, b"ab")
 
@@ -123,7 +123,7 @@
         async def open_and_abort(*args):
             reader, writer = await real_open(*args)
             writer.transport.abort()
-            # The transport closes its socket in the next turn of the loop.
+            # The transport closes its socket in the next iteration of the loop.
             await asyncio.sleep(0.01)
             return reader, writer
 
--- a/test/test_peers.py
+++ b/test/test_peers.py
@@ -1,4 +1,4 @@
-"""Daemons call one another over real sockets."""
+"""Daemons call each other over real sockets."""
 
 import asyncio
 import contextlib
--- a/test/test_platform_names.py
+++ b/test/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The users' names stand in one folder only."""
+"""The names of the platform's protocols occur only in the platform package."""
 
 import pathlib
 import re
@@ -6,7 +6,7 @@
 
 PACKAGE = pathlib.Path(__file__).resolve().parent.parent / "goldcrestmoor"
 FOLDER = PACKAGE / "platform"
-# What the users' pages call things on the wire, where the product says it otherwise.
+# Names in the platform's protocols that differ from the names used in this project.
 HEADERS = """
     Server-Stamp Expect-Instance Deadline-Ms Not-Run Weight-Versions Instance-Id
     Wait-Ms Length-Hint Model-Name Token-Count Prompt-Prefix Kv-From
--- a/test/test_table.py
+++ b/test/test_table.py
@@ -1,4 +1,4 @@
-"""The platform's adapters, against its stand-in and its faults."""
+"""The clients of the platform, tested with a fake platform and injected faults."""
 
 import asyncio
 import json
