--- a/goldcrestmoor/connection/health.py
+++ b/goldcrestmoor/connection/health.py
@@ -180,11 +180,13 @@
         if len(medians) < 2:
             return
         slowest_ms, slowest_name = max(medians)
-        peers_ms = statistics.median(ms for ms, name in medians if name != slowest_name)
-        bound_ms = peers_ms * SLOW_FACTOR + SLOW_MARGIN_MS
+        others_ms = statistics.median(
+            ms for ms, name in medians if name != slowest_name
+        )
+        bound_ms = others_ms * SLOW_FACTOR + SLOW_MARGIN_MS
         if slowest_ms > bound_ms:
             self._state_by_upstream[slowest_name].max_latency_ms = bound_ms
-            reason = f"median of {slowest_ms:.0f} ms, its peers {peers_ms:.0f} ms"
+            reason = f"median of {slowest_ms:.0f} ms, its peers {others_ms:.0f} ms"
             self._eject(slowest_name, self._state_by_upstream[slowest_name], reason)
 
     def try_probe(self, upstream):
