--- a/goldcrestmoor/connection/adaptive_timeout.py
+++ b/goldcrestmoor/connection/adaptive_timeout.py
@@ -11,8 +11,8 @@
 MAX_RESPONSES = 4
 # A response that takes twice the recent peak latency is considered lost.
 MARGIN_FACTOR = 2
-# A call that queues behind others may take eight times as long as one that does not:
-# the queue is a second long at a store whose reads take a quarter of a second.
+# A call that queues behind others may take eight times as long as one that does not,
+# as in a queue of one second at a store whose reads take a quarter of a second.
 QUEUEING_FACTOR = 8
 # The peak latency decays by a fifth with each further response.
 DECAY_FACTOR = 0.8
--- a/goldcrestmoor/connection/health.py
+++ b/goldcrestmoor/connection/health.py
@@ -186,7 +186,9 @@
         bound_ms = others_ms * SLOW_FACTOR + SLOW_MARGIN_MS
         if slowest_ms > bound_ms:
             self._state_by_upstream[slowest_name].max_latency_ms = bound_ms
-            reason = f"median of {slowest_ms:.0f} ms, its peers {others_ms:.0f} ms"
+            reason = (
+                f"median of {slowest_ms:.0f} ms, other upstreams {others_ms:.0f} ms"
+            )
             self._eject(slowest_name, self._state_by_upstream[slowest_name], reason)
 
     def try_probe(self, upstream):
--- a/goldcrestmoor/platform/records.py
+++ b/goldcrestmoor/platform/records.py
@@ -42,7 +42,7 @@
     # The number of servers that one client attempt may be sent to, including the first.
     attempts: int = 1
     resumable: bool = False
-    # In seconds, unlike the other times. Used with run_aim_ms only for batch jobs.
+    # In seconds, unlike the other times; like run_aim_ms, only on batch job routes.
     keep_s: float = 0
     run_aim_ms: float = 0
     single_version: bool = False
--- a/goldcrestmoor/platform/store.py
+++ b/goldcrestmoor/platform/store.py
@@ -24,7 +24,7 @@
 # A hundred times the latency of a healthy store.
 PROBE_TIMEOUT_MS = 400
 # All rows are in the part with the empty name. Parts of the store fail independently,
-# so with one part, only one can fail; its 200 transactions per second are enough.
+# so with one part, only one failure matters; its 200 transactions per second suffice.
 PART = ""
 _JSON = [(b"content-type", b"application/json")]
 
