--- a/goldcrestmoor/adapters/group_commit.py
+++ b/goldcrestmoor/adapters/group_commit.py
@@ -1,10 +1,10 @@
-"""Sends a host's transactions as one while an earlier one is under way (group commit).
+"""Group commit: combines a host's transactions while an earlier one is in flight.
 
-The load this answers: the store makes transactions one after another, 5 ms each, and
-turns calls away once a second's worth is waiting. When it is sixty times slower than
-usual it makes three a second for all hosts, while each host that runs jobs has several
-to make at any time: results of two jobs, leases, entries of orders. As one transaction
-they take one turn.
+Workload: the store applies transactions serially, 5 ms each, and rejects calls once one
+second of work is queued. When it is sixty times slower than usual, it applies three a
+second for all hosts, while each host that runs jobs has several pending at any time:
+results of two jobs, leases, load order entries. Combined, they take one place in the
+store's queue.
 """
 
 import asyncio
@@ -19,108 +19,111 @@
 
 log = logging.getLogger("goldcrestmoor.commits")
 
-# The store takes 100 entries and 1 MB after base64 in a transaction; 600 kB are 800 kB
-# then, which leaves room for keys and checks.
+# The store accepts 100 entries and 1 MB after base64 encoding per transaction; 600 kB
+# become 800 kB, which leaves space for keys and checks.
 MAX_ENTRIES = 100
 MAX_BYTES = 600_000
-# Of an entry beside its value: table, key, version and their encoding.
+# The size of an entry besides its value: table, key, version and their encoding.
 ENTRY_BYTES = 200
-# Sixty times what the store needs when it is well: an answer that is later is lost, or
+# Sixty times the latency of a healthy store: a response that takes longer is lost, or
 # the store is slow, which its reads have shown by then.
-MIN_PATIENCE_MS = 300
-# How often a store that gives no answers is asked again, so that the end of an outage
-# is noticed within this.
-MAX_PATIENCE_MS = 500
-# A store that turns calls away has a second's worth waiting; coming back sooner than in
-# a fraction of that keeps it full.
-MIN_TURNED_AWAY_MS = 100
-MAX_TURNED_AWAY_MS = 600
-# A transaction waits so many times as long as one call of it, the last one included.
-TIMEOUT_PATIENCES = 2
-# How long a call is kept after it was made again, as a late answer tells how slow the
+MIN_RESPONSE_TIMEOUT_MS = 300
+# The interval between calls to an unresponsive store, and so the longest time until
+# the end of an outage is detected.
+MAX_RESPONSE_TIMEOUT_MS = 500
+# A store that rejects calls has a second of work queued; retrying sooner than in a
+# fraction of that keeps its queue full.
+MIN_REJECTION_PAUSE_MS = 100
+MAX_REJECTION_PAUSE_MS = 600
+# The timeout of a transaction as a multiple of that of one call, including the last.
+TRANSACTION_TIMEOUT_FACTOR = 2
+# A call stays open this long even after a retry, as a late response shows how slow the
 # store is.
 CALL_TIMEOUT_MS = 4000
-# Before the next ones are sent, those whose answers have just come get this share of
-# the longest of the last answers to make their next, or they would go by turns with
-# the others and wait twice as long. Nothing while the store is well.
-GATHER_SHARE = 0.1
-# As long as a job gathers results.
-MAX_GATHER_MS = 50
+# The delay before the next group, as a fraction of the peak latency. In this time, the
+# callers whose responses have just arrived can submit their next transactions; without
+# it they would alternate with the others and wait twice as long. It is near zero while
+# the store is healthy.
+BATCH_DELAY_RATIO = 0.1
+# Equal to the time for which a job collects results.
+MAX_BATCH_DELAY_MS = 50
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """The store has made a transaction.
+    """The store has applied a transaction.
 
-    :param version: the version of all rows that it wrote.
+    :param version: the new version of all rows written.
     """
 
     version: int
 
 
-class Refused(msgspec.Struct, frozen=True):
-    """The store has not made a transaction, as a check did not hold.
+class Rejected(msgspec.Struct, frozen=True):
+    """The store has not applied a transaction, because a check failed.
 
-    :param row_by_place: the rows that were checked, as they are, by table and key; a
-        row that does not exist is left out.
+    :param row_by_key: the current state of the checked rows, by table and key; rows
+        that do not exist are omitted.
     """
 
-    row_by_place: dict[tuple[str, str], Row]
+    row_by_key: dict[tuple[str, str], Row]
 
 
-class _Waiting:
-    """A transaction that has no answer yet.
+class _PendingTransaction:
+    """A transaction without a response yet.
 
-    :ivar calls: how many calls that hold it are under way.
-    :ivar is_unsure: whether a call that held it ended without an answer.
+    :ivar calls: the number of calls in flight that include it.
+    :ivar has_unknown_outcome: whether a call that included it got no response.
     """
 
     __slots__ = (
         "checks",
         "writes",
-        "places",
+        "row_keys",
         "size",
         "answer",
         "calls",
-        "is_unsure",
+        "has_unknown_outcome",
     )
 
     def __init__(self, checks, writes):
         self.checks = list(checks)
         self.writes = list(writes)
-        self.places = {(entry.table, entry.key) for entry in self.checks + self.writes}
+        self.row_keys = {
+            (entry.table, entry.key) for entry in self.checks + self.writes
+        }
         self.size = sum(len(write.value or b"") for write in self.writes)
         self.size += ENTRY_BYTES * self.entries
         self.answer = asyncio.get_running_loop().create_future()
         self.calls = 0
-        self.is_unsure = False
+        self.has_unknown_outcome = False
 
     @property
     def entries(self):
         return len(self.checks) + len(self.writes)
 
     @property
-    def may_have_landed(self):
-        """Whether it may have been made, or may yet be."""
-        return bool(self.calls) or self.is_unsure
+    def may_be_applied(self):
+        """Whether the transaction may have been applied, or may yet be."""
+        return bool(self.calls) or self.has_unknown_outcome
 
 
 class GroupCommit:
-    """Make transactions, several as one where an earlier one is under way.
+    """Sends transactions, combined into groups while an earlier one is in flight.
 
-    A transaction is made as a whole or not at all, as if it were sent alone; that
-    others are made with it shows nowhere. One that gets no answer is sent again beside
-    the first call, with what has come meanwhile. Its checks let only one of the two
-    land. One that the store turns away as it is busy is sent again after a pause, with
-    all others of this host.
+    Each transaction is atomic, as if it were sent alone; callers cannot observe the
+    grouping. One that gets no response is sent again, together with the transactions
+    that arrived meanwhile, while the first call stays open. Its checks ensure that
+    only one of the two calls is applied. One that a busy store rejects is sent again
+    after a pause, with all others of this host.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param send: a coroutine function that takes checks, writes and a timeout in
         milliseconds, sends them once and returns :class:`Applied` or
-        :class:`Refused`; raises :class:`~goldcrestmoor.errors.ServiceError`,
-        ``OVERLOADED`` when the store turned the call away.
-    :param timeout_ms: how long a transaction may take, in milliseconds; longer while
-        the store's answers take longer.
-    :param read_ms: gives how long reads take at present, in milliseconds.
+        :class:`Rejected`; raises :class:`~goldcrestmoor.errors.ServiceError`,
+        ``OVERLOADED`` when the store rejected the call.
+    :param timeout_ms: the timeout of a transaction, in milliseconds; it is extended
+        while the store is slow.
+    :param read_ms: returns the current latency of reads, in milliseconds.
     """
 
     __slots__ = (
@@ -130,7 +133,7 @@
         "_timeout",
         "_backoff",
         "_pause_ms",
-        "_waiting",
+        "_pending",
         "_is_sending",
         "_tasks",
     )
@@ -139,43 +142,47 @@
         self._clock = clock
         self._send = send
         self._timeout_ms = timeout_ms
-        self._timeout = AdaptiveTimeout(MIN_PATIENCE_MS, MAX_PATIENCE_MS, read_ms)
-        self._backoff = Backoff(MIN_TURNED_AWAY_MS, MAX_TURNED_AWAY_MS)
+        self._timeout = AdaptiveTimeout(
+            MIN_RESPONSE_TIMEOUT_MS, MAX_RESPONSE_TIMEOUT_MS, read_ms
+        )
+        self._backoff = Backoff(MIN_REJECTION_PAUSE_MS, MAX_REJECTION_PAUSE_MS)
         self._pause_ms = 0
-        self._waiting = []
+        self._pending = []
         self._is_sending = False
         self._tasks = TaskGroup()
 
     async def transact(self, checks, writes):
-        """Make all writes at once, if all checks hold.
+        """Apply all writes atomically if all checks hold.
 
         :param checks: a list of :class:`~goldcrestmoor.adapters.table.Check`.
         :param writes: a list of :class:`~goldcrestmoor.adapters.table.Write`.
-        :return: ``Committed``, or ``CheckFailed`` when it never will be made, or was
-            made by a call whose answer was lost: the row that it names then is as the
-            transaction has left it.
-        :raises ServiceError: as ``send`` does; ``OUTCOME_UNKNOWN`` when there was no
-            answer in time.
+        :return: ``Committed``, or ``CheckFailed`` when the transaction will never be
+            applied, or was applied by a call whose response was lost: the row that it
+            names is then in the state that the transaction has written.
+        :raises ServiceError: as ``send`` does; ``OUTCOME_UNKNOWN`` when no response
+            came in time.
         """
-        waiting = _Waiting(checks, writes)
-        self._waiting.append(waiting)
+        transaction = _PendingTransaction(checks, writes)
+        self._pending.append(transaction)
         self._start_sending()
-        timer = self._tasks.start(self._expire(waiting))
+        timer = self._tasks.start(self._expire(transaction))
         try:
-            return await waiting.answer
+            return await transaction.answer
         finally:
             timer.cancel()
 
-    async def _expire(self, waiting):
+    async def _expire(self, transaction):
         started_ms = self._clock.now_ms()
-        left_ms = self._timeout_ms
-        while left_ms > 0:
-            await self._clock.sleep_ms(left_ms)
-            # The store may have turned out to be slow meanwhile.
-            slow_ms = TIMEOUT_PATIENCES * self._timeout.wait_ms()
+        remaining_ms = self._timeout_ms
+        while remaining_ms > 0:
+            await self._clock.sleep_ms(remaining_ms)
+            # The store may have become slow meanwhile.
+            slow_ms = TRANSACTION_TIMEOUT_FACTOR * self._timeout.wait_ms()
             elapsed_ms = self._clock.now_ms() - started_ms
-            left_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
-        _fail(waiting, _kind(waiting), "The store gave no answer in time.")
+            remaining_ms = min(slow_ms, CALL_TIMEOUT_MS) - elapsed_ms
+        _fail(
+            transaction, _error_kind(transaction), "The store did not respond in time."
+        )
 
     def _start_sending(self):
         if not self._is_sending:
@@ -183,42 +190,44 @@
             self._tasks.start(self._send_all())
 
     async def _send_all(self):
-        """Send what waits, one group after another, until nothing does."""
+        """Send the pending transactions in groups, one after another."""
         try:
-            while self._waiting:
-                await self._gather()
-                group = self._take()
+            while self._pending:
+                await self._delay_batch()
+                group = self._next_group()
                 if group:
-                    await self._send_patiently(group)
+                    await self._send_with_timeout(group)
         finally:
             self._is_sending = False
 
-    async def _gather(self):
-        gather_ms = min(int(self._timeout.longest_ms * GATHER_SHARE), MAX_GATHER_MS)
-        wait_ms = max(gather_ms, self._pause_ms)
+    async def _delay_batch(self):
+        delay_ms = min(
+            int(self._timeout.peak_latency_ms * BATCH_DELAY_RATIO), MAX_BATCH_DELAY_MS
+        )
+        wait_ms = max(delay_ms, self._pause_ms)
         self._pause_ms = 0
         if wait_ms:
             await self._clock.sleep_ms(wait_ms)
 
-    async def _send_patiently(self, group):
-        """Send a group, and put it back after a while without an answer."""
+    async def _send_with_timeout(self, group):
+        """Send a group, and requeue it when no response comes in time."""
         call = self._tasks.start(self._call(group))
         timer = self._tasks.start(self._clock.sleep_ms(self._timeout.wait_ms()))
         await asyncio.wait({call, timer}, return_when=asyncio.FIRST_COMPLETED)
         timer.cancel()
         if not call.done():
             self._timeout.record_timeout()
-            self._waiting = group + self._waiting
+            self._pending = group + self._pending
 
     async def _call(self, group):
-        for waiting in group:
-            waiting.calls += 1
+        for transaction in group:
+            transaction.calls += 1
         sent_ms = self._clock.now_ms()
         error = None
         try:
             answer = await self._send(
-                [check for waiting in group for check in waiting.checks],
-                [write for waiting in group for write in waiting.writes],
+                [check for transaction in group for check in transaction.checks],
+                [write for transaction in group for write in transaction.writes],
                 CALL_TIMEOUT_MS,
             )
             self._timeout.record_response(self._clock.now_ms() - sent_ms)
@@ -229,104 +238,104 @@
             log.exception("A transaction failed in this process.")
             text = "The transaction failed in this process."
             error = ServiceError(ErrorKind.OUTCOME_UNKNOWN, text)
-        for waiting in group:
-            waiting.calls -= 1
+        for transaction in group:
+            transaction.calls -= 1
         if error is None:
-            self._settle(group, answer)
+            self._resolve(group, answer)
         else:
-            self._note_error(group, error)
+            self._handle_error(group, error)
 
-    def _note_error(self, group, error):
-        """Fail the transactions of a call that no other call holds, or send again."""
+    def _handle_error(self, group, error):
+        """Fail or requeue the transactions of a failed call that are in no other."""
         if error.kind is ErrorKind.OUTCOME_UNKNOWN:
-            for waiting in group:
-                waiting.is_unsure = True
+            for transaction in group:
+                transaction.has_unknown_outcome = True
         if error.kind is ErrorKind.OVERLOADED:
             self._pause_ms = self._backoff.next_ms()
-            self._put_back(group)
+            self._requeue(group)
             return
-        for waiting in self._held_by_none(group):
-            _fail(waiting, _kind(waiting), error.message)
+        for transaction in self._without_calls(group):
+            _fail(transaction, _error_kind(transaction), error.message)
 
-    def _held_by_none(self, group):
-        """Return the transactions that no other call holds, or is to hold."""
-        return [w for w in group if not w.calls and w not in self._waiting]
+    def _without_calls(self, group):
+        """Return the transactions that are in no other call and not pending."""
+        return [t for t in group if not t.calls and t not in self._pending]
 
-    def _put_back(self, group):
-        """Send transactions again, before what waits, unless a call holds them."""
-        self._waiting = self._held_by_none(group) + self._waiting
+    def _requeue(self, group):
+        """Put transactions that are in no call ahead of the pending ones, and send."""
+        self._pending = self._without_calls(group) + self._pending
         self._start_sending()
 
-    def _take(self):
-        """Take the waiting transactions that fit together, in their order."""
-        group, rest, places, entries, size = [], [], set(), 0, 0
-        for waiting in self._waiting:
-            if waiting.answer.done():
-                # Its caller has gone.
+    def _next_group(self):
+        """Remove and return pending transactions that fit into one group, in order."""
+        group, rest, row_keys, entries, size = [], [], set(), 0, 0
+        for transaction in self._pending:
+            if transaction.answer.done():
+                # Its caller has stopped waiting.
                 continue
             fits = (
-                entries + waiting.entries <= MAX_ENTRIES
-                and size + waiting.size <= MAX_BYTES
-                and places.isdisjoint(waiting.places)
+                entries + transaction.entries <= MAX_ENTRIES
+                and size + transaction.size <= MAX_BYTES
+                and row_keys.isdisjoint(transaction.row_keys)
             )
             if group and not fits:
-                rest.append(waiting)
+                rest.append(transaction)
             else:
-                group.append(waiting)
-                entries += waiting.entries
-                size += waiting.size
-            # What waits for a row keeps its turn.
-            places |= waiting.places
-        self._waiting = rest
+                group.append(transaction)
+                entries += transaction.entries
+                size += transaction.size
+            # Transactions on the same row keep their order.
+            row_keys |= transaction.row_keys
+        self._pending = rest
         return group
 
-    def _settle(self, group, answer):
+    def _resolve(self, group, answer):
         match answer:
             case Applied(version):
-                for waiting in group:
-                    keys = (f"{w.table}/{w.key}" for w in waiting.writes)
-                    _succeed(waiting, Committed(dict.fromkeys(keys, version)))
-            case Refused(row_by_place):
-                self._settle_refused(group, row_by_place)
-
-    def _settle_refused(self, group, row_by_place):
-        """Refuse the transactions whose checks fail, and send the others again."""
-        again = []
-        for waiting in group:
-            failed = _failed_check(waiting.checks, row_by_place)
+                for transaction in group:
+                    keys = (f"{w.table}/{w.key}" for w in transaction.writes)
+                    _succeed(transaction, Committed(dict.fromkeys(keys, version)))
+            case Rejected(row_by_key):
+                self._resolve_rejected(group, row_by_key)
+
+    def _resolve_rejected(self, group, row_by_key):
+        """Reject the transactions whose checks fail, and send the others again."""
+        passing = []
+        for transaction in group:
+            failed = _failed_check(transaction.checks, row_by_key)
             if failed is None:
-                again.append(waiting)
+                passing.append(transaction)
             else:
-                _succeed(waiting, failed)
-        if len(again) < len(group):
-            self._put_back(again)
+                _succeed(transaction, failed)
+        if len(passing) < len(group):
+            self._requeue(passing)
             return
-        for waiting in again:
-            text = "The store refused a condition that holds."
-            _fail(waiting, ErrorKind.OUTCOME_UNKNOWN, text)
+        for transaction in passing:
+            text = "The store rejected a condition that holds."
+            _fail(transaction, ErrorKind.OUTCOME_UNKNOWN, text)
 
 
-def _failed_check(checks, row_by_place):
-    """Name the first check that does not hold, with the row as it is, or None."""
+def _failed_check(checks, row_by_key):
+    """Return the first failed check with the current row, or None."""
     for check in checks:
-        row = row_by_place.get((check.table, check.key))
+        row = row_by_key.get((check.table, check.key))
         if (row.version if row else 0) != check.version:
             return CheckFailed(row, check.table, check.key)
     return None
 
 
-def _kind(waiting):
-    """Return the kind of error of a transaction that has no answer."""
-    if waiting.may_have_landed:
+def _error_kind(transaction):
+    """Return the kind of error for a transaction without a response."""
+    if transaction.may_be_applied:
         return ErrorKind.OUTCOME_UNKNOWN
     return ErrorKind.PLATFORM_UNAVAILABLE
 
 
-def _succeed(waiting, answer):
-    if not waiting.answer.done():
-        waiting.answer.set_result(answer)
+def _succeed(transaction, answer):
+    if not transaction.answer.done():
+        transaction.answer.set_result(answer)
 
 
-def _fail(waiting, kind, message):
-    if not waiting.answer.done():
-        waiting.answer.set_exception(ServiceError(kind, message))
+def _fail(transaction, kind, message):
+    if not transaction.answer.done():
+        transaction.answer.set_exception(ServiceError(kind, message))
--- a/goldcrestmoor/adapters/hosts.py
+++ b/goldcrestmoor/adapters/hosts.py
@@ -1,15 +1,19 @@
-"""The platform's list of live and leaving hosts and upstreams, which lags."""
+"""The client of the platform's list of hosts and upstreams, which lags behind."""
 
 import enum
 
 import msgspec
 
 from goldcrestmoor.adapters import platform
-from goldcrestmoor.adapters.platform import STATUS_NOT_MODIFIED, STATUS_OK, Platform
+from goldcrestmoor.adapters.platform import (
+    STATUS_NOT_MODIFIED,
+    STATUS_OK,
+    PlatformClient,
+)
 
 
 class ListedKind(enum.StrEnum):
-    """What a list entry is."""
+    """The kind of a list entry."""
 
     HOST = "host"
     UPSTREAM = "upstream"
@@ -29,8 +33,8 @@
     :param kind: which of the two it is.
     :param zone: its availability zone.
     :param address: its IP address.
-    :param http_port: where it serves HTTP.
-    :param peer_port: where its peers reach it; 0 for an upstream.
+    :param http_port: the TCP port for HTTP.
+    :param peer_port: the TCP port for peer messages; 0 for an upstream.
     :param state: whether it takes new work.
     """
 
@@ -51,38 +55,38 @@
 
 
 class HostListClient:
-    """Fetch the list.
+    """Fetches the list.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
     :param settings: the :class:`~goldcrestmoor.settings.PlatformSettings`.
-    :param metrics: where the bytes are counted, or None.
+    :param metrics: counts the bytes sent and received; may be None.
     """
 
-    __slots__ = ("_platform", "_tag", "_entries")
+    __slots__ = ("_platform", "_etag", "_entries")
 
     def __init__(self, *, clock, http, settings, metrics=None):
-        self._platform = Platform(http=http, settings=settings, metrics=metrics)
-        self._tag = None
+        self._platform = PlatformClient(http=http, settings=settings, metrics=metrics)
+        self._etag = None
         self._entries = ()
 
     async def fetch(self):
         """Return the list's entries.
 
-        A platform that gives entity tags is asked only for a list that differs
-        from the last one.
+        If the platform sends entity tags, an unchanged list is not transferred
+        again.
 
         :return: a list of :class:`ListedHost`, the same object while unchanged.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         headers, statuses = (), (STATUS_OK,)
-        if self._tag is not None:
-            headers = ((b"if-none-match", self._tag),)
+        if self._etag is not None:
+            headers = ((b"if-none-match", self._etag),)
             statuses = (STATUS_OK, STATUS_NOT_MODIFIED)
         response = await self._platform.read("/hosts", statuses, headers)
         if response.status == STATUS_NOT_MODIFIED:
             return self._entries
         entries = platform.decode_read(response.body, _decoder).hosts
-        self._tag = dict(response.headers).get(b"etag")
-        self._entries = entries if self._tag is not None else ()
+        self._etag = dict(response.headers).get(b"etag")
+        self._entries = entries if self._etag is not None else ()
         return entries
--- a/test/_table.py
+++ b/test/_table.py
@@ -1,11 +1,11 @@
-"""A table service in memory, with outages and lost answers."""
+"""An in-memory table service with outages and lost responses."""
 
-from goldcrestmoor.adapters import table as seam
+from goldcrestmoor.adapters import table as table_service
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
 
 class FakeTable:
-    """The rows, and what goes wrong with the next requests."""
+    """The rows, and the faults of the next requests."""
 
     def __init__(self):
         self.rows_by_name = {}
@@ -22,19 +22,19 @@
         for check in checks:
             row = self.rows_by_name.get((check.table, check.key))
             if (row.version if row else 0) != check.version:
-                return seam.CheckFailed(row, check.table, check.key)
+                return table_service.CheckFailed(row, check.table, check.key)
         versions = {}
         for write in writes:
             name = (write.table, write.key)
             old = self.rows_by_name.get(name)
             version = (old.version if old else 0) + 1
-            self.rows_by_name[name] = seam.Row(write.key, version, write.value)
+            self.rows_by_name[name] = table_service.Row(write.key, version, write.value)
             versions[f"{write.table}/{write.key}"] = version
-        return seam.Committed(versions)
+        return table_service.Committed(versions)
 
 
 class FakeTableClient:
-    """One host's client; while the host is frozen, no answer reaches it."""
+    """One host's client; it gets no responses while the host is frozen."""
 
     def __init__(self, table, clock):
         self._table = table
--- a/test/test_platform_names.py
+++ b/test/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The users' names stand in one folder only."""
+"""The names of the platform's protocols occur only in the platform package."""
 
 import pathlib
 import re
@@ -6,7 +6,7 @@
 
 PACKAGE = pathlib.Path(__file__).resolve().parent.parent / "goldcrestmoor"
 FOLDER = PACKAGE / "platform"
-# What the users' pages call things on the wire, where the product says it otherwise.
+# Names in the platform's protocols that differ from the names used in this project.
 HEADERS = """
     Server-Stamp Expect-Instance Deadline-Ms Not-Run Weight-Versions Instance-Id
     Wait-Ms Length-Hint Model-Name Token-Count Prompt-Prefix Kv-From
@@ -38,15 +38,15 @@
             for match in pattern.finditer(line)
         ]
 
-    def test_no_module_outside_the_folder_knows_them(self):
+    def test_no_module_outside_the_package_uses_them(self):
         paths = [p for p in PACKAGE.rglob("*.py") if FOLDER not in p.parents]
         self.assertGreater(len(paths), 100)
         self.assertEqual(self.found_in(paths), [])
 
-    def test_the_folder_does_know_them(self):
+    def test_the_package_uses_them(self):
         self.assertTrue(self.found_in(FOLDER.glob("*.py")))
 
-    def test_only_the_daemon_that_wires_it_imports_the_folder(self):
+    def test_only_the_front_daemon_imports_the_package(self):
         importing = [
             str(path.relative_to(PACKAGE))
             for path in PACKAGE.rglob("*.py")
