--- a/goldcrestmoor/job/engine_choice.py
+++ b/goldcrestmoor/job/engine_choice.py
@@ -12,9 +12,9 @@
 
 # Engines whose pace differs by less are filled evenly; the pace of like engines differs
 # by a few hundredths from one measurement to the next.
-LIKE_FACTOR = 1.15
+EQUAL_SPEED_FACTOR = 1.15
 # A group's engine is kept while it is no more than this share fuller than the rest.
-AFFINITY_SHARE = 0.25
+AFFINITY_MARGIN = 0.25
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
@@ -45,31 +45,34 @@
     :param avoid: engines that the item has just failed on; used only when no other
         fits.
     """
-    fitting = [
+    eligible = [
         engine
         for engine in engines
         if engine.version >= min_version
         and engine.in_flight < engine.slots
         and not engine.is_blocked
     ]
-    others = [engine for engine in fitting if engine.name not in avoid]
-    candidates = _fastest(others or fitting)
+    others = [engine for engine in eligible if engine.name not in avoid]
+    candidates = _fastest(others or eligible)
     if not candidates:
         return None
-    best = min(candidates, key=_fullness)
-    bound = best.in_flight / best.slots + AFFINITY_SHARE
+    best = min(candidates, key=_utilization)
+    max_utilization = best.in_flight / best.slots + AFFINITY_MARGIN
     for engine in candidates:
-        if engine.name == group_engine and engine.in_flight / engine.slots <= bound:
+        if (
+            engine.name == group_engine
+            and engine.in_flight / engine.slots <= max_utilization
+        ):
             return engine.name
     return best.name
 
 
-def _fullness(engine):
+def _utilization(engine):
     return engine.in_flight / engine.slots, engine.name
 
 
 def _fastest(engines):
     """Return the engines that are about as fast as the fastest, or not known yet."""
-    paces = [e.ms_per_event for e in engines if e.ms_per_event is not None]
-    bound_ms = min(paces, default=0) * LIKE_FACTOR
-    return [e for e in engines if (e.ms_per_event or 0) <= bound_ms]
+    known_ms_per_event = [e.ms_per_event for e in engines if e.ms_per_event is not None]
+    max_ms = min(known_ms_per_event, default=0) * EQUAL_SPEED_FACTOR
+    return [e for e in engines if (e.ms_per_event or 0) <= max_ms]
--- a/goldcrestmoor/job/item_run.py
+++ b/goldcrestmoor/job/item_run.py
@@ -18,8 +18,8 @@
 HEAD_TIMEOUT_MS = 1500
 # Ten times the pause between events that callers bear with; an engine that is four
 # times slower than usual still makes an event in 200 ms.
-SILENCE_TIMEOUT_MS = 1200
-TRY_TIMEOUT_MS = 60_000
+IDLE_TIMEOUT_MS = 1200
+ATTEMPT_TIMEOUT_MS = 60_000
 
 
 class Finished(msgspec.Struct, frozen=True):
@@ -80,7 +80,7 @@
     :ivar failures: how often an engine said that it failed.
     :ivar engine: the engine that works on it, or None.
     :ivar generation: grows when it starts over from its prompt.
-    :ivar kept_events: how many of the events are kept in the store.
+    :ivar saved_events: how many of the events are kept in the store.
     :ivar started_ms: when its first try began.
     :ivar avoid: the engine that it was last broken off at.
     :ivar is_moving: whether its try is being ended, to go on at another engine.
@@ -93,9 +93,9 @@
         "last_id",
         "versions",
         "failures",
-        "tries",
+        "attempts",
         "generation",
-        "kept_events",
+        "saved_events",
         "started_ms",
         "engine",
         "avoid",
@@ -107,7 +107,7 @@
         self.item = item
         self.position = position
         self.failures = 0
-        self.tries = 0
+        self.attempts = 0
         self.started_ms = None
         self.engine = None
         self.avoid = ""
@@ -117,7 +117,7 @@
         self.events = []
         self.last_id = ""
         self.versions = []
-        self.kept_events = 0
+        self.saved_events = 0
 
     @property
     def group(self):
@@ -129,21 +129,21 @@
         """How long the item's output is expected to be, in tokens."""
         return self.item.expected_tokens
 
-    def forget_text(self):
+    def restart(self):
         """Start over from the prompt."""
         self.generation += 1
         self.events = []
         self.last_id = ""
         self.versions = []
-        self.kept_events = 0
+        self.saved_events = 0
 
-    def unkept(self):
+    def unsaved(self):
         """Return the events that are not kept yet, as a partial text."""
         return Partial(
             self.position,
             self.generation,
-            self.kept_events,
-            tuple(self.events[self.kept_events :]),
+            self.saved_events,
+            tuple(self.events[self.saved_events :]),
             self.last_id,
             tuple(self.versions),
         )
@@ -161,7 +161,7 @@
                 self.events += partial.events
                 self.last_id = partial.last_id
                 self.versions = list(partial.versions)
-        self.kept_events = len(self.events)
+        self.saved_events = len(self.events)
 
     def add(self, event, version):
         """Take in one event.
@@ -220,19 +220,19 @@
                     run.item.path,
                     headers,
                     run.item.body,
-                    TRY_TIMEOUT_MS,
+                    ATTEMPT_TIMEOUT_MS,
                     idempotent=True,
                     head_timeout_ms=HEAD_TIMEOUT_MS,
-                    progress_timeout_ms=SILENCE_TIMEOUT_MS,
+                    progress_timeout_ms=IDLE_TIMEOUT_MS,
                     allow_close_delimited=True,
                 ) as response:
-                    return await self._read(run, response, terms, on_events)
+                    return await self._read_response(run, response, terms, on_events)
         except ServiceError as e:
             if e.answer.ran is Ran.NOT_RUN:
                 return NotRun(e.message)
             return Broken(e.message)
 
-    async def _read(self, run, response, terms, on_events):
+    async def _read_response(self, run, response, terms, on_events):
         dialect = self._dialect
         if dialect.ran(response.status, response.headers) is Ran.NOT_RUN:
             await _drain(response)
@@ -241,38 +241,38 @@
             return Broken("the answer belongs to another request or is spoilt")
         if response.status != STATUS_OK:
             await _drain(response)
-            return _outcome(response.status)
+            return _outcome_of(response.status)
         version = dialect.weight_version(response.headers)
         if version is None:
             return Broken("the answer states no weight version")
         on_events(0)
         reader = EventParser(dialect.EVENT_FIELDS)
         async for chunk in response.body():
-            had = len(run.events)
+            count_before = len(run.events)
             for event in reader.feed(chunk):
                 version = version if event.version is None else event.version
-                fault = _take(run, event, version, terms)
-                if fault:
-                    return Broken(fault)
-            on_events(len(run.events) - had)
+                error = _add_event(run, event, version, terms)
+                if error:
+                    return Broken(error)
+            on_events(len(run.events) - count_before)
         if reader.has_partial_event or not run.events:
             return Broken("the stream ended within an event")
         return Finished()
 
 
-def _take(run, event, version, terms):
+def _add_event(run, event, version, terms):
     """Take in an event; return why it cannot be, or an empty string."""
     if version < terms.min_version:
         return f"weight version {version} is too old"
     if terms.single_version and run.versions and version not in run.versions:
-        run.forget_text()
+        run.restart()
         return "the weight version changed"
     if not run.add(event, version):
         return f"event {event.id!r} does not follow {run.last_id!r}"
     return ""
 
 
-def _outcome(status):
+def _outcome_of(status):
     if status == STATUS_FAILED:
         return Failed()
     if status == STATUS_IMPOSSIBLE:
--- a/goldcrestmoor/job/job_api.py
+++ b/goldcrestmoor/job/job_api.py
@@ -52,13 +52,13 @@
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it surely was not
             accepted, ``OUTCOME_UNKNOWN`` when it may have been.
         """
-        if job.id in self._supervisor.kept_by_job:
+        if job.id in self._supervisor.state_by_job:
             return
-        self._check_heard("kept")
+        self._check_store_current("kept")
         deadline = Deadline.after(self._clock, ACCEPT_TIMEOUT_MS)
-        with self._supervisor.accepting(job):
-            kept = await self._store.accept(job, self._zone, deadline)
-            self._supervisor.note(job.id, kept)
+        with self._supervisor.caching(job):
+            stored = await self._store.accept(job, self._zone, deadline)
+            self._supervisor.update_state(job.id, stored)
         log.info(
             "Job %s is accepted: %d items of %s, step %d, from version %d on.",
             job.id,
@@ -78,14 +78,16 @@
         :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when that
             cannot be told.
         """
-        kept = await self._kept(call.job_id)
-        if kept.state.listed <= call.after and call.wait_ms:
-            await self._supervisor.wait_listed(call.job_id, call.after, call.wait_ms)
-            kept = await self._kept(call.job_id)
-        if kept.state.listed <= call.after:
-            return kept.state.total, []
+        stored = await self._load_state(call.job_id)
+        if stored.state.listed <= call.after and call.wait_ms:
+            await self._supervisor.wait_for_listed(
+                call.job_id, call.after, call.wait_ms
+            )
+            stored = await self._load_state(call.job_id)
+        if stored.state.listed <= call.after:
+            return stored.state.total, []
         results = await self._store.results(call.job_id, call.after, max_bytes)
-        return kept.state.total, results
+        return stored.state.total, results
 
     async def item_body(self, call):
         """Return the body of an item as it was submitted.
@@ -94,8 +96,8 @@
         :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when that
             cannot be told.
         """
-        kept = await self._kept(call.job_id)
-        job = await self._job(call.job_id, kept.state)
+        stored = await self._load_state(call.job_id)
+        job = await self._load_job(call.job_id, stored.state)
         for item in job.items:
             if item.id == call.item_id:
                 return item.body
@@ -107,34 +109,34 @@
         :param call: a :class:`~goldcrestmoor.job.calls.EndJob`.
         :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE``.
         """
-        self._check_heard("ended")
-        kept = await self._kept(call.job_id)
-        while not kept.state.is_ended:
-            state = msgspec.structs.replace(kept.state, is_ended=True)
-            kept = await self._store.change(call.job_id, kept, state)
-            if kept is None:
+        self._check_store_current("ended")
+        stored = await self._load_state(call.job_id)
+        while not stored.state.is_ended:
+            state = msgspec.structs.replace(stored.state, is_ended=True)
+            stored = await self._store.change(call.job_id, stored, state)
+            if stored is None:
                 raise ServiceError(ErrorKind.NOT_FOUND, "There is no such job.")
-            self._supervisor.note(call.job_id, kept)
+            self._supervisor.update_state(call.job_id, stored)
         log.info("Job %s is ended.", call.job_id)
 
-    def _check_heard(self, done):
+    def _check_store_current(self, action):
         if not self._is_current():
-            text = f"The store is not heard, so no job can be {done}."
+            text = f"The store is not heard, so no job can be {action}."
             raise ServiceError(
                 ErrorKind.PLATFORM_UNAVAILABLE, text, STORE_RETRY_AFTER_MS
             )
 
-    async def _kept(self, job_id):
-        kept = self._supervisor.kept_by_job.get(job_id)
-        if kept is not None and self._is_current():
-            return kept
-        kept = await self._store.state(job_id)
-        if kept is None:
+    async def _load_state(self, job_id):
+        stored = self._supervisor.state_by_job.get(job_id)
+        if stored is not None and self._is_current():
+            return stored
+        stored = await self._store.state(job_id)
+        if stored is None:
             raise ServiceError(ErrorKind.NOT_FOUND, "There is no such job.")
-        self._supervisor.note(job_id, kept)
-        return kept
+        self._supervisor.update_state(job_id, stored)
+        return stored
 
-    async def _job(self, job_id, state):
+    async def _load_job(self, job_id, state):
         job = self._job_by_id.get(job_id)
         if job is None:
             job = await self._store.load(job_id, state)
--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -15,19 +15,19 @@
 
 # Results are gathered for so long before they are written, which bounds how often a
 # busy job writes and every host hears of it.
-GATHER_MS = 40
+BATCH_DELAY_MS = 40
 # The text of an item is first kept when a run of it has cost over a second of a slot,
 # and then as much again is at stake; most items are shorter and never kept.
-KEEP_EVENTS = 30
+MIN_UNSAVED_EVENTS = 30
 # How often that is looked at, which bounds the writes of a job that lists nothing.
-KEEP_CHECK_MS = 700
+SAVE_CHECK_INTERVAL_MS = 700
 
 
 class JobRun:
     """The items of a job until all are listed, or another process runs it.
 
     :param job: the :class:`~goldcrestmoor.job.job.Job`.
-    :param kept: its :class:`~goldcrestmoor.job.job_store.KeptState`, with this
+    :param stored: its :class:`~goldcrestmoor.job.job_store.VersionedState`, with this
         process as its runner, or with none yet.
     :param process_id: this process, by a name that no other has.
     :param listed_ids: the ids of the items that are listed already.
@@ -36,7 +36,7 @@
     :param priority: its route's priority.
     :param clock: the clock.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
-    :param on_state: called with each :class:`KeptState` that is written or met.
+    :param on_state: called with each :class:`VersionedState` that is written or met.
     """
 
     __slots__ = (
@@ -47,7 +47,7 @@
         "waiting",
         "running_by_id",
         "engine_by_group",
-        "_kept",
+        "_stored",
         "_process_id",
         "_clock",
         "_store",
@@ -57,14 +57,14 @@
         "_is_over",
         "_is_handed_over",
         "_has_ended",
-        "_taken_up_ms",
+        "_started_ms",
     )
 
     def __init__(
         self,
         *,
         job,
-        kept,
+        stored,
         process_id,
         listed_ids,
         partials,
@@ -77,7 +77,7 @@
         self.job = job
         self.policy = policy
         self.priority = priority
-        self.due_ms = kept.state.submitted_ms + policy.due_after_ms
+        self.due_ms = stored.state.submitted_ms + policy.due_after_ms
         self.waiting = [
             ItemRun(item, position)
             for position, item in enumerate(job.items)
@@ -87,7 +87,7 @@
             run.resume(partials.get(run.position, ()))
         self.running_by_id = {}
         self.engine_by_group = {}
-        self._kept = kept
+        self._stored = stored
         self._process_id = process_id
         self._clock = clock
         self._store = store
@@ -97,7 +97,7 @@
         self._is_over = False
         self._is_handed_over = False
         self._has_ended = asyncio.Event()
-        self._taken_up_ms = clock.now_ms()
+        self._started_ms = clock.now_ms()
 
     @property
     def is_over(self):
@@ -106,7 +106,7 @@
 
     def age_ms(self):
         """Return for how long this process has run the job."""
-        return self._clock.now_ms() - self._taken_up_ms
+        return self._clock.now_ms() - self._started_ms
 
     def next_items(self):
         """Return the waiting items in the order in which to start them."""
@@ -120,13 +120,13 @@
         """
         self.waiting.remove(run)
         run.engine = engine
-        run.tries += 1
+        run.attempts += 1
         if run.started_ms is None:
             run.started_ms = self._clock.now_ms()
         self.running_by_id[run.item.id] = run
         self.engine_by_group[run.group] = engine
 
-    def put_back(self, run):
+    def requeue(self, run):
         """Note that an item has to be run again.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
@@ -150,9 +150,9 @@
                 run.item.id,
                 self.job.id,
                 "done" if is_completed else "given up",
-                run.started_ms - self._taken_up_ms,
+                run.started_ms - self._started_ms,
                 self._clock.now_ms() - run.started_ms,
-                run.tries,
+                run.attempts,
                 run.engine,
                 len(run.events),
                 run.expected_tokens,
@@ -169,13 +169,13 @@
         two hosts may run an item, and only one of them can list it.
         """
         try:
-            if not await self._take():
+            if not await self._claim():
                 return
-            while self._kept.state.listed < self._kept.state.total:
+            while self._stored.state.listed < self._stored.state.total:
                 await self._wait_for_results()
                 if self._is_over or not await self._write():
                     return
-                if self._is_handed_over and not self._has_unkept():
+                if self._is_handed_over and not self._has_unsaved():
                     log.info("Job %s is left to the next runner.", self.job.id)
                     return
             log.info("All results of job %s are listed.", self.job.id)
@@ -183,33 +183,33 @@
             self.stop()
             self._has_ended.set()
 
-    async def _take(self):
+    async def _claim(self):
         """Write that this process runs the job; tell whether it does."""
-        if self._kept.state.runner == self._process_id:
+        if self._stored.state.runner == self._process_id:
             return True
-        state = msgspec.structs.replace(self._kept.state, runner=self._process_id)
-        kept = await self._store.change(self.job.id, self._kept, state)
-        if not self._is_still_runner(kept):
+        state = msgspec.structs.replace(self._stored.state, runner=self._process_id)
+        stored = await self._store.change(self.job.id, self._stored, state)
+        if not self._is_still_runner(stored):
             return False
-        self._kept = kept
-        self._on_state(self.job.id, kept)
-        return not kept.state.is_ended
+        self._stored = stored
+        self._on_state(self.job.id, stored)
+        return not stored.state.is_ended
 
     def stop(self):
         """Start nothing more, and stop what is running."""
         self._is_over = True
         self._has_finished.set()
         self.waiting.clear()
-        self._stop_running()
+        self._cancel_running()
 
     async def hand_over(self):
         """Stop, once all that was made is kept for the next runner to go on from."""
         self._is_handed_over = True
-        self.waiting += self._stop_running()
+        self.waiting += self._cancel_running()
         self._has_finished.set()
         await self._has_ended.wait()
 
-    def _stop_running(self):
+    def _cancel_running(self):
         """Stop what is running; return it."""
         runs = list(self.running_by_id.values())
         self.running_by_id.clear()
@@ -218,100 +218,100 @@
                 run.task.cancel()
         return runs
 
-    def _has_unkept(self):
-        return bool(self._finished) or any(self._with_unkept())
+    def _has_unsaved(self):
+        return bool(self._finished) or any(self._with_unsaved())
 
     async def _wait_for_results(self):
         if self._is_handed_over:
             return
-        wait_ms = min(self._keep_left_ms(), KEEP_CHECK_MS)
+        wait_ms = min(self._remaining_ms(), SAVE_CHECK_INTERVAL_MS)
         if wait_ms > 0:
             try:
                 async with asyncio.timeout(wait_ms / 1000):
                     await self._has_finished.wait()
             except TimeoutError:
                 pass
-        if self._keep_left_ms() <= 0:
-            self._give_up()
-        await self._clock.sleep_ms(GATHER_MS)
-
-    def _keep_left_ms(self):
-        kept_until_ms = self._kept.state.submitted_ms + self.policy.expire_after_ms
-        return kept_until_ms - self._store.now_ms()
-
-    def _give_up(self):
-        left = self.waiting + list(self.running_by_id.values())
-        if left:
-            log.warning("Job %s: %d items are given up.", self.job.id, len(left))
+        if self._remaining_ms() <= 0:
+            self._abandon_items()
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
+
+    def _remaining_ms(self):
+        expires_ms = self._stored.state.submitted_ms + self.policy.expire_after_ms
+        return expires_ms - self._store.now_ms()
+
+    def _abandon_items(self):
+        remaining = self.waiting + list(self.running_by_id.values())
+        if remaining:
+            log.warning("Job %s: %d items are given up.", self.job.id, len(remaining))
         self.waiting.clear()
-        for run in left:
+        for run in remaining:
             if run.task is not None:
                 run.task.cancel()
             self.finish(run, is_completed=False)
 
     async def _write(self):
         """Write what has finished; tell whether this process still runs the job."""
-        room = job_store.Room()
+        budget = job_store.WriteBudget()
         results = list(
-            itertools.takewhile(lambda r: room.take(len(r.text)), self._finished)
+            itertools.takewhile(lambda r: budget.reserve(len(r.text)), self._finished)
         )
-        partials = self._partials(room)
+        partials = self._partials(budget)
         if not results and not partials:
             self._has_finished.clear()
             return True
         state = msgspec.structs.replace(
-            self._kept.state, listed=self._kept.state.listed + len(results)
+            self._stored.state, listed=self._stored.state.listed + len(results)
         )
-        kept = await self._store.change(
-            self.job.id, self._kept, state, results, partials.values()
+        stored = await self._store.change(
+            self.job.id, self._stored, state, results, partials.values()
         )
-        if not self._is_still_runner(kept):
+        if not self._is_still_runner(stored):
             return False
-        if kept.state.listed == state.listed:
+        if stored.state.listed == state.listed:
             for run, partial in partials.items():
                 if run.generation == partial.generation:
-                    run.kept_events = partial.first + len(partial.events)
+                    run.saved_events = partial.first + len(partial.events)
             del self._finished[: len(results)]
             if not self._finished:
                 self._has_finished.clear()
-        self._kept = kept
-        self._on_state(self.job.id, kept)
-        return not kept.state.is_ended
+        self._stored = stored
+        self._on_state(self.job.id, stored)
+        return not stored.state.is_ended
 
-    def _partials(self, room):
+    def _partials(self, budget):
         """Return the partial texts that are long enough to be kept, by run."""
         partials = {}
-        if not room.has_room:
+        if not budget.has_capacity:
             return partials
-        for run in self._with_unkept():
-            partial = run.unkept()
-            if not room.take(sum(map(len, partial.events))):
+        for run in self._with_unsaved():
+            partial = run.unsaved()
+            if not budget.reserve(sum(map(len, partial.events))):
                 break
             partials[run] = partial
         return partials
 
-    def _with_unkept(self):
+    def _with_unsaved(self):
         """Yield the items whose text has grown enough to be kept again."""
-        least = 1 if self._is_handed_over else KEEP_EVENTS
+        min_events = 1 if self._is_handed_over else MIN_UNSAVED_EVENTS
         for run in itertools.chain(self.running_by_id.values(), self.waiting):
-            if len(run.events) - run.kept_events >= least:
+            if len(run.events) - run.saved_events >= min_events:
                 yield run
 
-    def _is_still_runner(self, kept):
-        if kept is not None and kept.state.runner == self._process_id:
+    def _is_still_runner(self, stored):
+        if stored is not None and stored.state.runner == self._process_id:
             return True
-        runner = kept.state.runner if kept else "nobody; it is gone"
+        runner = stored.state.runner if stored else "nobody; it is gone"
         log.warning("Job %s is run by %s now.", self.job.id, runner)
-        if kept is not None:
-            self._on_state(self.job.id, kept)
+        if stored is not None:
+            self._on_state(self.job.id, stored)
         return False
 
-    def note_state(self, kept):
+    def apply_state(self, stored):
         """Take in what another process has written of the job.
 
-        :param kept: the :class:`~goldcrestmoor.job.job_store.KeptState`.
+        :param stored: the :class:`~goldcrestmoor.job.job_store.VersionedState`.
         """
-        if kept.version <= self._kept.version:
+        if stored.version <= self._stored.version:
             return
-        if kept.state.is_ended or kept.state.runner not in ("", self._process_id):
+        if stored.state.is_ended or stored.state.runner not in ("", self._process_id):
             self.stop()
--- a/goldcrestmoor/job/job_store.py
+++ b/goldcrestmoor/job/job_store.py
@@ -30,9 +30,9 @@
 # Of one transaction, with room for the state's row and its check.
 MAX_WRITES = 90
 # Of an entry beside its text: ids, versions and their encoding.
-ENTRY_BYTES = 600
-MORE = b"+"
-LAST = b"."
+ENTRY_OVERHEAD_BYTES = 600
+MORE_CHUNKS = b"+"
+LAST_CHUNK = b"."
 # Ten times the usual answer of the store.
 RETRY_MIN_MS = 40
 # The end of an outage is noticed within this.
@@ -50,7 +50,7 @@
 _result_decoder = msgspec.msgpack.Decoder(Result)
 
 
-class KeptState(msgspec.Struct, frozen=True):
+class VersionedState(msgspec.Struct, frozen=True):
     """A job's state with the version of its row.
 
     :param state: the :class:`~goldcrestmoor.job.job.JobState`.
@@ -104,7 +104,7 @@
         :param job: the :class:`~goldcrestmoor.job.job.Job`.
         :param zone: this host's availability zone.
         :param deadline: when to give up.
-        :return: the :class:`KeptState`.
+        :return: the :class:`VersionedState`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when the job is surely not
             kept, ``OUTCOME_UNKNOWN`` when it may be.
         """
@@ -160,15 +160,15 @@
                         raise ServiceError(ErrorKind.OUTCOME_UNKNOWN, e.message) from e
                     raise
                 await self._clock.sleep_ms(delay_ms)
-        return _settled(job_id, state, answer)
+        return _state_after_write(job_id, state, answer)
 
     async def state(self, job_id):
-        """Return a job's :class:`KeptState`, or None when there is no such job.
+        """Return a job's :class:`VersionedState`, or None when there is no such job.
 
         :param job_id: the job.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
-        return _kept(await self._store.get(STATE_TABLE, job_id))
+        return _decode_row(await self._store.get(STATE_TABLE, job_id))
 
     async def load(self, job_id, state):
         """Return the job as it was submitted.
@@ -182,7 +182,7 @@
             data = await self._store.get_object(state.object_key)
         else:
             rows = await self._store.scan(BODY_TABLE, _prefix(job_id))
-            data = next(_joined(rows), None)
+            data = next(_join_chunks(rows), None)
         if data is None:
             raise ServiceError(ErrorKind.INTERNAL, f"Job {job_id} itself is gone.")
         try:
@@ -191,22 +191,22 @@
             text = f"What is kept of job {job_id} is malformed."
             raise ServiceError(ErrorKind.INTERNAL, text) from e
 
-    async def change(self, job_id, kept, state, results=(), partials=()):
+    async def change(self, job_id, stored, state, results=(), partials=()):
         """Write a new state, and results at the positions that follow the listed.
 
         Sent again until its outcome is known, for as long as the caller waits.
 
         :param job_id: the job.
-        :param kept: the :class:`KeptState` that it follows.
+        :param stored: the :class:`VersionedState` that it follows.
         :param state: the new state, its count of listed results included.
         :param results: the new :class:`~goldcrestmoor.job.job.Result` values.
         :param partials: :class:`~goldcrestmoor.job.job.Partial` values to keep.
-        :return: the :class:`KeptState` as it is now, ``state`` itself or what
+        :return: the :class:`VersionedState` as it is now, ``state`` itself or what
             another process has written; None when the job is gone.
         """
-        checks = [Check(STATE_TABLE, job_id, kept.version)]
+        checks = [Check(STATE_TABLE, job_id, stored.version)]
         writes = [Write(STATE_TABLE, job_id, msgspec.json.encode(state))]
-        for position, result in enumerate(results, kept.state.listed):
+        for position, result in enumerate(results, stored.state.listed):
             writes += _result_writes(job_id, position, result)
         for partial in partials:
             writes += _partial_writes(job_id, partial)
@@ -218,7 +218,7 @@
             except ServiceError as e:
                 log.info("The state of job %s is not written yet: %s", job_id, e)
                 await self._clock.sleep_ms(backoff.next_ms())
-        return _settled(job_id, state, answer)
+        return _state_after_write(job_id, state, answer)
 
     async def results(self, job_id, after, max_bytes):
         """Return the listed results from a position on.
@@ -236,7 +236,7 @@
             max_rows=READ_ROWS,
         )
         results, size = [], 0
-        for data in _joined(rows):
+        for data in _join_chunks(rows):
             size += len(data)
             if results and size > max_bytes:
                 break
@@ -266,17 +266,17 @@
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         rows = await self._store.scan(PARTIAL_TABLE, _prefix(job_id))
-        found = {}
-        for data in _joined(rows):
+        partials_by_position = {}
+        for data in _join_chunks(rows):
             partial = _partial_decoder.decode(data)
-            found.setdefault(partial.position, []).append(partial)
-        return found
+            partials_by_position.setdefault(partial.position, []).append(partial)
+        return partials_by_position
 
-    async def remove(self, job_id, kept):
+    async def remove(self, job_id, stored):
         """Delete a job that nobody may ask for any more.
 
         :param job_id: the job.
-        :param kept: its :class:`KeptState`.
+        :param stored: its :class:`VersionedState`.
         :raises ServiceError: when the store cannot be reached; safe to call again.
         """
         for table in (RESULT_TABLE, PARTIAL_TABLE, BODY_TABLE):
@@ -285,51 +285,51 @@
                 batch, rows = rows[:MAX_WRITES], rows[MAX_WRITES:]
                 writes = [Write(table, row.key, None) for row in batch]
                 await self._store.transact([], writes)
-        if kept.state.object_key:
-            await self._store.delete(kept.state.object_key)
-        checks = [Check(STATE_TABLE, job_id, kept.version)]
+        if stored.state.object_key:
+            await self._store.delete(stored.state.object_key)
+        checks = [Check(STATE_TABLE, job_id, stored.version)]
         writes = [Write(STATE_TABLE, job_id, None)]
         await self._store.transact(checks, writes)
 
 
-class Room:
+class WriteBudget:
     """How much one transaction still holds.
 
-    :ivar has_room: whether everything has fitted so far.
+    :ivar has_capacity: whether everything has fitted so far.
     """
 
-    __slots__ = ("has_room", "_writes", "_bytes")
+    __slots__ = ("has_capacity", "_writes", "_bytes")
 
     def __init__(self):
-        self.has_room = True
+        self.has_capacity = True
         self._writes = 0
         self._bytes = 0
 
-    def take(self, length):
+    def reserve(self, length):
         """Tell whether a text still fits, the first one always.
 
         :param length: its length, in characters.
         """
-        length += ENTRY_BYTES
+        length += ENTRY_OVERHEAD_BYTES
         writes = 1 + length // MAX_CHUNK_BYTES
         fits = self._writes + writes <= MAX_WRITES and self._bytes + length <= MAX_BYTES
-        self.has_room = self.has_room and (fits or not self._writes)
+        self.has_capacity = self.has_capacity and (fits or not self._writes)
         self._writes += writes
         self._bytes += length
-        return self.has_room
+        return self.has_capacity
 
 
-def _kept(row):
-    return KeptState(decode_state(row.value), row.version) if row else None
+def _decode_row(row):
+    return VersionedState(decode_state(row.value), row.version) if row else None
 
 
-def _settled(job_id, state, answer):
+def _state_after_write(job_id, state, answer):
     """Return the state that a job has after a write, ours or another's, or None."""
     match answer:
         case Committed(version_by_key):
-            return KeptState(state, version_by_key[f"{STATE_TABLE}/{job_id}"])
+            return VersionedState(state, version_by_key[f"{STATE_TABLE}/{job_id}"])
         case CheckFailed(row):
-            return _kept(row)
+            return _decode_row(row)
 
 
 def _prefix(job_id):
@@ -358,15 +358,15 @@
     """Yield the writes that keep bytes in as many rows as they need."""
     for number, start in enumerate(range(0, len(data), MAX_CHUNK_BYTES)):
         chunk = data[start : start + MAX_CHUNK_BYTES]
-        mark = LAST if start + MAX_CHUNK_BYTES >= len(data) else MORE
-        yield Write(table, f"{name}/{number:02d}", mark + chunk)
+        marker = LAST_CHUNK if start + MAX_CHUNK_BYTES >= len(data) else MORE_CHUNKS
+        yield Write(table, f"{name}/{number:02d}", marker + chunk)
 
 
-def _joined(rows):
+def _join_chunks(rows):
     """Yield the bytes that rows keep, in their order; a cut end is left out."""
     chunks = []
     for row in rows:
         chunks.append(row.value[1:])
-        if row.value[:1] == LAST:
+        if row.value[:1] == LAST_CHUNK:
             yield b"".join(chunks)
             chunks = []
--- a/goldcrestmoor/job/job_supervisor.py
+++ b/goldcrestmoor/job/job_supervisor.py
@@ -10,7 +10,7 @@
 from goldcrestmoor.clock import MS_PER_SECOND
 from goldcrestmoor.errors import ServiceError
 from goldcrestmoor.job.job_run import JobRun
-from goldcrestmoor.job.job_store import KeptState, decode_state
+from goldcrestmoor.job.job_store import VersionedState, decode_state
 from goldcrestmoor.job.runner_choice import claim_delay_ms
 from goldcrestmoor.util import TaskGroup
 
@@ -20,13 +20,13 @@
 RUNNER_LEASE_MS = 1500
 # So long after others have heard the store and this host has not, its jobs have been
 # taken up elsewhere: the lease, its margin and a claim.
-ABANDON_MS = 3000
+CUT_OFF_TIMEOUT_MS = 3000
 # An outage of the store lasts seconds; its end is noticed within a quarter of one.
 RETRY_MS = 250
 # Leases lapse without an event that wakes the board.
 TICK_MS = 200
 # How often old jobs are looked for, and how much longer than promised they stay.
-SWEEP_MS = 5000
+CLEANUP_INTERVAL_MS = 5000
 
 
 def runner_duty(model):
@@ -56,7 +56,7 @@
     """
 
     __slots__ = (
-        "kept_by_job",
+        "state_by_job",
         "_clock",
         "_store",
         "_duties",
@@ -66,15 +66,15 @@
         "_zone",
         "_changed",
         "_job_by_id",
-        "_adopting",
+        "_starting",
         "_reclaiming",
         "_runs_by_job",
         "_tasks",
         "_is_leaving",
         "_kept_ms",
-        "_swept_ms",
+        "_last_cleanup_ms",
         "_is_cut_off",
-        "_cut_off_ms",
+        "_cut_off_since_ms",
     )
 
     def __init__(
@@ -90,7 +90,7 @@
         kept_ms,
         is_cut_off,
     ):
-        self.kept_by_job = {}
+        self.state_by_job = {}
         self._clock = clock
         self._store = store
         self._duties = duties
@@ -100,15 +100,15 @@
         self._zone = zone
         self._changed = asyncio.Event()
         self._job_by_id = {}
-        self._adopting = set()
+        self._starting = set()
         self._reclaiming = set()
         self._runs_by_job = {}
         self._tasks = TaskGroup()
         self._is_leaving = False
         self._kept_ms = kept_ms
-        self._swept_ms = clock.now_ms()
+        self._last_cleanup_ms = clock.now_ms()
         self._is_cut_off = is_cut_off
-        self._cut_off_ms = None
+        self._cut_off_since_ms = None
 
     def apply(self, changes):
         """Take in what the feed of the jobs' states says.
@@ -120,11 +120,11 @@
                 self._forget(change.key)
                 continue
             try:
-                kept = KeptState(decode_state(change.value), change.version)
+                stored = VersionedState(decode_state(change.value), change.version)
             except ServiceError as e:
                 log.warning("Job %s is passed over: %s", change.key, e)
                 continue
-            self.note(change.key, kept)
+            self.update_state(change.key, stored)
 
     def runs_model(self, model):
         """Tell whether this host runs a model's jobs now.
@@ -133,19 +133,19 @@
         """
         return not self._is_leaving and self._duties.holds(runner_duty(model))
 
-    def note(self, job_id, kept):
+    def update_state(self, job_id, stored):
         """Take in a job's state, from the feed or from an own write.
 
         :param job_id: the job.
-        :param kept: the :class:`~goldcrestmoor.job.job_store.KeptState`.
+        :param stored: the :class:`~goldcrestmoor.job.job_store.VersionedState`.
         """
-        known = self.kept_by_job.get(job_id)
-        if known is not None and known.version >= kept.version:
+        known = self.state_by_job.get(job_id)
+        if known is not None and known.version >= stored.version:
             return
-        self.kept_by_job[job_id] = kept
+        self.state_by_job[job_id] = stored
         run = self._runs_by_job.get(job_id)
         if run is not None:
-            run.note_state(kept)
+            run.apply_state(stored)
         self.wake()
 
     def wake(self):
@@ -154,7 +154,7 @@
         self._changed = asyncio.Event()
 
     @contextlib.contextmanager
-    def accepting(self, job):
+    def caching(self, job):
         """Have a job at hand while it is being accepted, to run it without a read.
 
         The feed may tell of the job before the write that accepts it is answered.
@@ -168,7 +168,7 @@
             self._job_by_id.pop(job.id, None)
             raise
 
-    async def wait_listed(self, job_id, after, timeout_ms):
+    async def wait_for_listed(self, job_id, after, timeout_ms):
         """Wait until a job has more results listed than a given number.
 
         :param job_id: the job.
@@ -183,19 +183,19 @@
             pass
 
     def _has_listed(self, job_id, after):
-        kept = self.kept_by_job.get(job_id)
-        return kept is None or kept.state.is_ended or kept.state.listed > after
+        stored = self.state_by_job.get(job_id)
+        return stored is None or stored.state.is_ended or stored.state.listed > after
 
     async def run(self):
         """Take up jobs for good."""
         while True:
-            for job_id, kept in list(self.kept_by_job.items()):
-                if self._is_open(kept.state) and self._is_free(job_id):
-                    self._adopting.add(job_id)
-                    self._tasks.start(self._take_up(job_id), f"job {job_id}")
-            self._keep_duties()
-            self._abandon()
-            self._start_sweep()
+            for job_id, stored in list(self.state_by_job.items()):
+                if self._is_open(stored.state) and self._is_free(job_id):
+                    self._starting.add(job_id)
+                    self._tasks.start(self._claim_and_run(job_id), f"job {job_id}")
+            self._reclaim_duties()
+            self._stop_if_cut_off()
+            self._start_cleanup()
             changed = self._changed
             try:
                 async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
@@ -223,13 +223,13 @@
         """Stop every job."""
         await self._tasks.close()
 
-    def _keep_duties(self):
+    def _reclaim_duties(self):
         """Take back the duties of jobs that are run here, after an outage.
 
         The jobs go on meanwhile, as no other host could take them up; with the duty
         gone others would, and read and connect to all anew.
         """
-        if self._is_leaving or self._cut_off_ms is not None:
+        if self._is_leaving or self._cut_off_since_ms is not None:
             return
         runs = [run for run in self._runs_by_job.values() if not run.is_over]
         for model in {run.job.model for run in runs} - self._reclaiming:
@@ -247,41 +247,41 @@
         finally:
             self._reclaiming.discard(model)
 
-    def _abandon(self):
+    def _stop_if_cut_off(self):
         """Stop jobs that another host has taken up while this one was cut off."""
         now_ms = self._clock.now_ms()
         if not self._is_cut_off():
-            self._cut_off_ms = None
-        elif self._cut_off_ms is None:
-            self._cut_off_ms = now_ms
-        elif now_ms - self._cut_off_ms > ABANDON_MS:
+            self._cut_off_since_ms = None
+        elif self._cut_off_since_ms is None:
+            self._cut_off_since_ms = now_ms
+        elif now_ms - self._cut_off_since_ms > CUT_OFF_TIMEOUT_MS:
             for job_id, run in self._runs_by_job.items():
                 if not run.is_over:
                     log.info("Job %s is left to a host that hears the store.", job_id)
                     run.stop()
 
-    def _start_sweep(self):
+    def _start_cleanup(self):
         """Remove jobs that nobody may ask for any more, one host for each model."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._swept_ms < SWEEP_MS:
+        if now_ms - self._last_cleanup_ms < CLEANUP_INTERVAL_MS:
             return
-        self._swept_ms = now_ms
+        self._last_cleanup_ms = now_ms
         try:
             store_ms = self._store.now_ms()
         except ServiceError:
             # Nothing is kept or removed before the store was first heard.
             return
-        for job_id, kept in list(self.kept_by_job.items()):
-            age_ms = store_ms - kept.state.submitted_ms
-            is_old = age_ms > self._kept_ms + SWEEP_MS
-            if is_old and self.runs_model(kept.state.model):
-                self._tasks.start(self._remove(job_id, kept), f"remove {job_id}")
-
-    async def _remove(self, job_id, kept):
-        if self._is_open(kept.state):
+        for job_id, stored in list(self.state_by_job.items()):
+            age_ms = store_ms - stored.state.submitted_ms
+            is_old = age_ms > self._kept_ms + CLEANUP_INTERVAL_MS
+            if is_old and self.runs_model(stored.state.model):
+                self._tasks.start(self._remove(job_id, stored), f"remove {job_id}")
+
+    async def _remove(self, job_id, stored):
+        if self._is_open(stored.state):
             return
         try:
-            await self._store.remove(job_id, kept)
+            await self._store.remove(job_id, stored)
         except ServiceError as e:
             log.info("Job %s is not removed yet: %s", job_id, e)
             return
@@ -294,29 +294,29 @@
     def _is_free(self, job_id):
         return not (
             self._is_leaving
-            or self._cut_off_ms is not None
+            or self._cut_off_since_ms is not None
             or job_id in self._runs_by_job
-            or job_id in self._adopting
+            or job_id in self._starting
         )
 
-    async def _take_up(self, job_id):
+    async def _claim_and_run(self, job_id):
         try:
-            kept = self.kept_by_job.get(job_id)
-            if kept is None or not await self._has_duty(job_id, kept.state):
+            stored = self.state_by_job.get(job_id)
+            if stored is None or not await self._acquire_duty(job_id, stored.state):
                 return
-            kept = self.kept_by_job.get(job_id)
-            if kept is None or not self._is_open(kept.state):
+            stored = self.state_by_job.get(job_id)
+            if stored is None or not self._is_open(stored.state):
                 return
-            run = await self._adopt(job_id, kept)
+            run = await self._create_run(job_id, stored)
             if run is not None:
                 await self._run(run)
         except ServiceError as e:
             log.info("Job %s is not taken up yet: %s", job_id, e)
             await self._clock.sleep_ms(RETRY_MS)
         finally:
-            self._adopting.discard(job_id)
+            self._starting.discard(job_id)
 
-    async def _has_duty(self, job_id, state):
+    async def _acquire_duty(self, job_id, state):
         name = runner_duty(state.model)
         if self._duties.holds(name):
             return True
@@ -325,7 +325,7 @@
         delay_ms = claim_delay_ms(
             has_job=job_id in self._job_by_id,
             held_duty=self._duties.was_last_held_here(name),
-            is_near=state.zone == self._zone,
+            is_same_zone=state.zone == self._zone,
             share=random.random(),
         )
         if delay_ms:
@@ -334,18 +334,18 @@
                 return False
         return await self._duties.claim(name, RUNNER_LEASE_MS)
 
-    async def _adopt(self, job_id, kept):
+    async def _create_run(self, job_id, stored):
         """Return the run of a job whose runner this process becomes, or None."""
         job = self._job_by_id.pop(job_id, None)
         if job is None:
-            job = await self._store.load(job_id, kept.state)
+            job = await self._store.load(job_id, stored.state)
         listed_ids, partials = set(), {}
-        if kept.state.runner:
+        if stored.state.runner:
             # What an earlier runner has kept is read once it can write no more.
-            kept = await self._replace_runner(job_id, kept)
-            if kept is None:
+            stored = await self._replace_runner(job_id, stored)
+            if stored is None:
                 return None
-            listed_ids = await self._store.listed_ids(job_id, kept.state.listed)
+            listed_ids = await self._store.listed_ids(job_id, stored.state.listed)
             partials = await self._store.partials(job_id)
         table = self._routes()
         route = table.match(job.host, job.path) if table else None
@@ -356,13 +356,13 @@
             "Job %s of %s is run here: %d items, %d listed, step %d.",
             job_id,
             job.model or "no model",
-            kept.state.total,
-            kept.state.listed,
+            stored.state.total,
+            stored.state.listed,
             job.step,
         )
         return JobRun(
             job=job,
-            kept=kept,
+            stored=stored,
             process_id=self._process_id,
             listed_ids=listed_ids,
             partials=partials,
@@ -370,20 +370,20 @@
             priority=route.priority,
             clock=self._clock,
             store=self._store,
-            on_state=self.note,
+            on_state=self.update_state,
         )
 
-    async def _replace_runner(self, job_id, kept):
+    async def _replace_runner(self, job_id, stored):
         """Make this process a job's runner; return the state, or None if it is not."""
-        state = msgspec.structs.replace(kept.state, runner=self._process_id)
-        now = await self._store.change(job_id, kept, state)
-        if now is None:
+        state = msgspec.structs.replace(stored.state, runner=self._process_id)
+        updated = await self._store.change(job_id, stored, state)
+        if updated is None:
             self._forget(job_id)
             return None
-        self.note(job_id, now)
-        if now.state.runner != self._process_id or not self._is_open(now.state):
+        self.update_state(job_id, updated)
+        if updated.state.runner != self._process_id or not self._is_open(updated.state):
             return None
-        return now
+        return updated
 
     async def _run(self, run):
         job_id = run.job.id
@@ -396,5 +396,5 @@
             del self._runs_by_job[job_id]
 
     def _forget(self, job_id):
-        self.kept_by_job.pop(job_id, None)
+        self.state_by_job.pop(job_id, None)
         self._job_by_id.pop(job_id, None)
--- a/goldcrestmoor/job/scheduler.py
+++ b/goldcrestmoor/job/scheduler.py
@@ -15,7 +15,7 @@
     Moved,
     NotRun,
 )
-from goldcrestmoor.job.stragglers import Running, moves
+from goldcrestmoor.job.stragglers import RunningItem, choose_moves
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.load_plan import Demand
 
@@ -43,8 +43,8 @@
         "_routes",
         "_metrics",
         "_runs_by_job",
-        "_largest_by_model",
-        "_woken",
+        "_max_items_by_model",
+        "_wakeup",
         "_tasks",
     )
 
@@ -55,8 +55,8 @@
         self._routes = routes
         self._metrics = metrics
         self._runs_by_job = {}
-        self._largest_by_model = {}
-        self._woken = asyncio.Event()
+        self._max_items_by_model = {}
+        self._wakeup = asyncio.Event()
         self._tasks = TaskGroup()
 
     def add(self, job_run):
@@ -66,10 +66,10 @@
         """
         job = job_run.job
         self._runs_by_job[job.id] = job_run
-        if job.model not in self._largest_by_model:
-            self._show_waiting(job.model)
-        largest = self._largest_by_model.get(job.model, 0)
-        self._largest_by_model[job.model] = max(largest, len(job.items))
+        if job.model not in self._max_items_by_model:
+            self._register_waiting_metrics(job.model)
+        largest = self._max_items_by_model.get(job.model, 0)
+        self._max_items_by_model[job.model] = max(largest, len(job.items))
         self.wake()
 
     def remove(self, job_run):
@@ -82,7 +82,7 @@
 
     def wake(self):
         """Look again for engines with free slots."""
-        self._woken.set()
+        self._wakeup.set()
 
     def demand(self, model):
         """Return what waits for a model's engines.
@@ -96,7 +96,7 @@
             sum(len(run.waiting) for run in waiting),
             max((run.job.min_version for run in waiting), default=0),
             max((run.job.min_version for run in runs), default=0),
-            self._largest_by_model.get(model, 0),
+            self._max_items_by_model.get(model, 0),
         )
 
     def _open_runs(self, model):
@@ -111,14 +111,14 @@
         while True:
             try:
                 async with asyncio.timeout(TICK_MS / 1000):
-                    await self._woken.wait()
+                    await self._wakeup.wait()
             except TimeoutError:
                 pass
-            self._woken.clear()
+            self._wakeup.clear()
             self._dispatch()
             self._move_stragglers()
 
-    def _show_waiting(self, model):
+    def _register_waiting_metrics(self, model):
         """Have the metrics tell of a model's waiting items when they are read."""
         self._metrics.items_waiting.labels(model).set_function(
             lambda: self.demand(model).waiting
@@ -143,10 +143,10 @@
                 continue
             loads_by_service = {}
             for run in job_run.next_items():
-                if not self._place(job_run, run, table, loads_by_service):
+                if not self._assign_engine(job_run, run, table, loads_by_service):
                     break
 
-    def _place(self, job_run, run, table, loads_by_service):
+    def _assign_engine(self, job_run, run, table, loads_by_service):
         """Start an item; tell whether it is worth trying the ones behind it."""
         job = job_run.job
         route = table.match(job.host, run.item.path)
@@ -174,7 +174,7 @@
         run.task = self._tasks.start(self._attempt(job_run, run, engine, route))
         # A task that is cancelled before its first turn runs none of its own code.
         run.task.add_done_callback(
-            functools.partial(self._ended, job_run, run, engine, route)
+            functools.partial(self._on_attempt_done, job_run, run, engine, route)
         )
         return True
 
@@ -182,20 +182,20 @@
         terms = ItemTerms(
             job_run.job.host, job_run.job.min_version, route.job.single_version
         )
-        heard_ms = self._clock.now_ms()
+        last_event_ms = self._clock.now_ms()
 
         def on_events(count):
-            nonlocal heard_ms
+            nonlocal last_event_ms
             now_ms = self._clock.now_ms()
             if count:
-                self._pool.note_events(engine, now_ms - heard_ms, count)
+                self._pool.record_events(engine, now_ms - last_event_ms, count)
             else:
-                self._pool.note_taken(engine)
-            heard_ms = now_ms
+                self._pool.record_accepted(engine)
+            last_event_ms = now_ms
 
         return await self._executor.attempt(run, engine, terms, on_events)
 
-    def _ended(self, job_run, run, engine, route, task):
+    def _on_attempt_done(self, job_run, run, engine, route, task):
         """Settle a try, however it ended."""
         self._pool.end(engine)
         run.task = None
@@ -206,9 +206,9 @@
         if not task.cancelled():
             failure = task.exception()
             outcome = Broken(f"{failure!r}") if failure else task.result()
-            self._settle(job_run, run, engine, route, outcome)
+            self._handle_outcome(job_run, run, engine, route, outcome)
         elif run.is_moving:
-            self._settle(job_run, run, engine, route, Moved())
+            self._handle_outcome(job_run, run, engine, route, Moved())
 
     def _move_stragglers(self):
         """Take items off engines that are much slower than the others."""
@@ -220,11 +220,11 @@
             if route is None or job_run.waiting or not job_run.running_by_id:
                 continue
             for share in route.shares:
-                self._move_stragglers_of(job_run, share.service)
+                self._move_stragglers_from(job_run, share.service)
 
-    def _move_stragglers_of(self, job_run, service):
+    def _move_stragglers_from(self, job_run, service):
         running = [
-            Running(run.item.id, run.engine, len(run.events))
+            RunningItem(run.item.id, run.engine, len(run.events))
             for run in job_run.running_by_id.values()
         ]
         free_by_engine = {
@@ -232,7 +232,9 @@
             for load in self._pool.loads(service, job_run.job.model)
             if load.version >= job_run.job.min_version and not load.is_blocked
         }
-        for item_id in moves(running, self._pool.paces(service), free_by_engine):
+        for item_id in choose_moves(
+            running, self._pool.ms_per_event_by_engine(service), free_by_engine
+        ):
             run = job_run.running_by_id[item_id]
             if run.is_moving:
                 continue
@@ -245,7 +247,7 @@
             run.is_moving = True
             run.task.cancel()
 
-    def _settle(self, job_run, run, engine, route, outcome):
+    def _handle_outcome(self, job_run, run, engine, route, outcome):
         self._metrics.items.labels(type(outcome).__name__.lower()).inc()
         match outcome:
             case Finished():
@@ -257,7 +259,7 @@
                 return
             case Failed():
                 run.failures += 1
-                run.forget_text()
+                run.restart()
                 if run.failures >= route.attempts:
                     log.info("Item %s failed %d times.", run.item.id, run.failures)
                     job_run.finish(run, is_completed=False)
@@ -265,10 +267,10 @@
             case Moved():
                 run.is_moving = False
             case NotRun(reason):
-                self._pool.note_refused(engine)
+                self._pool.record_rejected(engine)
                 log.debug("Item %s not run at %s: %s", run.item.id, engine.name, reason)
             case Broken(reason):
-                self._pool.note_broken(engine)
+                self._pool.record_interrupted(engine)
                 log.info(
                     "Item %s broken off at %s after %d events: %s",
                     run.item.id,
@@ -276,4 +278,4 @@
                     len(run.events),
                     reason,
                 )
-        job_run.put_back(run)
+        job_run.requeue(run)
--- a/goldcrestmoor/job/stragglers.py
+++ b/goldcrestmoor/job/stragglers.py
@@ -18,7 +18,7 @@
 MIN_EVENTS_LEFT = 6
 
 
-class Running(msgspec.Struct, frozen=True):
+class RunningItem(msgspec.Struct, frozen=True):
     """A running item.
 
     :param id: the item.
@@ -31,27 +31,27 @@
     events: int
 
 
-def moves(running, pace_by_engine, free_by_engine):
+def choose_moves(running, ms_per_event_by_engine, free_by_engine):
     """Yield the ids of the items to move, those with most to gain first.
 
-    :param running: a list of :class:`Running`.
-    :param pace_by_engine: milliseconds for each event of the engines that are known.
+    :param running: a list of :class:`RunningItem`.
+    :param ms_per_event_by_engine: time per event, in milliseconds, by engine name.
     :param free_by_engine: how many free slots the engines have that take such items.
     """
-    if len(pace_by_engine) < 2:
+    if len(ms_per_event_by_engine) < 2:
         return
-    usual_ms = statistics.median_low(pace_by_engine.values())
+    median_ms = statistics.median_low(ms_per_event_by_engine.values())
     slow = {
         name: pace
-        for name, pace in pace_by_engine.items()
-        if pace > usual_ms * SLOW_FACTOR
+        for name, pace in ms_per_event_by_engine.items()
+        if pace > median_ms * SLOW_FACTOR
     }
-    room = sum(free for name, free in free_by_engine.items() if name not in slow)
+    free_slots = sum(free for name, free in free_by_engine.items() if name not in slow)
     gains = [
-        (max(item.events, MIN_EVENTS_LEFT) * (slow[item.engine] - usual_ms), item.id)
+        (max(item.events, MIN_EVENTS_LEFT) * (slow[item.engine] - median_ms), item.id)
         for item in running
         if item.engine in slow
     ]
-    for gain_ms, item_id in sorted(gains, reverse=True)[:room]:
+    for gain_ms, item_id in sorted(gains, reverse=True)[:free_slots]:
         if gain_ms >= MIN_GAIN_MS:
             yield item_id
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.job.item_run import ItemRun
 from goldcrestmoor.job.job import Item
 from goldcrestmoor.job.runner_choice import claim_delay_ms
-from goldcrestmoor.job.stragglers import Running, moves
+from goldcrestmoor.job.stragglers import RunningItem, choose_moves
 from goldcrestmoor.process.readiness import PeerStatus, ReadinessMonitor
 from goldcrestmoor.process.relay_choice import choose_relay
 from goldcrestmoor.request.retry_decision import (
@@ -81,17 +81,17 @@
 
     def test_the_longest_items_go_to_the_fastest_engines(self):
         """A third of the servers is slower for good; items come the longest first."""
-        paces = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
-        in_flight, order = dict.fromkeys(paces, 0), []
+        ms_per_event_by_engine = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
+        in_flight, order = dict.fromkeys(ms_per_event_by_engine, 0), []
         for _ in range(60):
             loads = [
-                engine(name, count, ms_per_event=paces[name])
+                engine(name, count, ms_per_event=ms_per_event_by_engine[name])
                 for name, count in in_flight.items()
             ]
             order.append(choose_engine(loads, 5))
             in_flight[order[-1]] += 1
         self.assertEqual(set(order[:36]), {"a", "c", "e"})
-        self.assertEqual(in_flight, dict.fromkeys(paces, 12))
+        self.assertEqual(in_flight, dict.fromkeys(ms_per_event_by_engine, 12))
         # Those that are alike fill evenly, so that none is full before its time.
         self.assertEqual(len({order[:12].count(name) for name in "ace"}), 1)
 
@@ -152,24 +152,39 @@
 
 class StragglersTest(unittest.TestCase):
     def running(self, count):
-        return [Running(f"{e}{n}", e, 10) for e in "abc" for n in range(count)]
+        return [RunningItem(f"{e}{n}", e, 10) for e in "abc" for n in range(count)]
 
     def test_the_streams_of_an_engine_that_turned_slow_move(self):
-        paces = {"a": 40.0, "b": 160.0, "c": 42.0}
-        found = set(moves(self.running(3), paces, {"a": 9, "b": 9, "c": 9}))
+        ms_per_event_by_engine = {"a": 40.0, "b": 160.0, "c": 42.0}
+        found = set(
+            choose_moves(
+                self.running(3), ms_per_event_by_engine, {"a": 9, "b": 9, "c": 9}
+            )
+        )
         self.assertEqual(found, {"b0", "b1", "b2"})
 
     def test_no_more_move_than_the_sound_engines_have_room_for(self):
-        paces = {"a": 40.0, "b": 160.0, "c": 42.0}
-        found = list(moves(self.running(8), paces, {"a": 1, "b": 9, "c": 1}))
+        ms_per_event_by_engine = {"a": 40.0, "b": 160.0, "c": 42.0}
+        found = list(
+            choose_moves(
+                self.running(8), ms_per_event_by_engine, {"a": 1, "b": 9, "c": 1}
+            )
+        )
         self.assertEqual(len(found), 2)
 
     def test_engines_of_like_pace_keep_theirs(self):
-        paces = {"a": 40.0, "b": 70.0, "c": 42.0}
-        self.assertEqual(list(moves(self.running(3), paces, {"a": 9, "c": 9})), [])
+        ms_per_event_by_engine = {"a": 40.0, "b": 70.0, "c": 42.0}
+        self.assertEqual(
+            list(
+                choose_moves(self.running(3), ms_per_event_by_engine, {"a": 9, "c": 9})
+            ),
+            [],
+        )
 
     def test_one_engine_alone_is_no_measure(self):
-        self.assertEqual(list(moves(self.running(3), {"a": 160.0}, {"b": 9})), [])
+        self.assertEqual(
+            list(choose_moves(self.running(3), {"a": 160.0}, {"b": 9})), []
+        )
 
 
 def weights(name, is_loading=False, **version_by_model):
--- a/test/test_engine_pool.py
+++ b/test/test_engine_pool.py
@@ -28,7 +28,7 @@
             self.directory.upstream_by_name = {new.name: new}
             self.pool.begin(new)
             self.pool.end(new)
-        known = {name for name, _ in self.pool._found_by_key}
+        known = {name for name, _ in self.pool._state_by_key}
         # The stream that is still under way is counted to its end.
         self.assertEqual(known, {"engine-0", "new-99"})
         self.pool.end(long_running)
--- a/test/test_job_run.py
+++ b/test/test_job_run.py
@@ -10,7 +10,7 @@
 from goldcrestmoor.job.item_run import Finished
 from goldcrestmoor.job.job import Item, Job, JobState
 from goldcrestmoor.job.job_run import JobRun
-from goldcrestmoor.job.job_store import KeptState
+from goldcrestmoor.job.job_store import VersionedState
 from goldcrestmoor.job.scheduler import Scheduler
 from goldcrestmoor.process.directory import ListedUpstream
 from goldcrestmoor.process.metrics import Metrics
@@ -46,8 +46,8 @@
 class FakeStore:
     """Keeps one job's state and takes whatever follows it."""
 
-    def __init__(self, kept):
-        self.kept = kept
+    def __init__(self, stored):
+        self.stored = stored
         self.results = []
         self.partials = []
         self.answers = asyncio.Event()
@@ -56,14 +56,14 @@
     def now_ms(self):
         return 1000
 
-    async def change(self, job_id, kept, state, results=(), partials=()):
+    async def change(self, job_id, stored, state, results=(), partials=()):
         await self.answers.wait()
-        if kept.version != self.kept.version:
-            return self.kept
-        self.kept = KeptState(state, kept.version + 1)
+        if stored.version != self.stored.version:
+            return self.stored
+        self.stored = VersionedState(state, stored.version + 1)
         self.results += results
         self.partials += partials
-        return self.kept
+        return self.stored
 
 
 class FakeDirectory:
@@ -99,11 +99,11 @@
 def make_run(count, partials=None, runner="me"):
     """Return a run of some items in the process ``me``, with its store."""
     items = tuple(Item(f"i{n}", "/x", {}, b"", group="g") for n in range(count))
-    kept = KeptState(JobState("h", "/x", MODEL, count, 0, runner=runner), 1)
-    store = FakeStore(kept)
+    stored = VersionedState(JobState("h", "/x", MODEL, count, 0, runner=runner), 1)
+    store = FakeStore(stored)
     run = JobRun(
         job=Job("j", "h", "/x", items, MODEL, 1),
-        kept=kept,
+        stored=stored,
         process_id="me",
         listed_ids=set(),
         partials=partials or {},
@@ -111,7 +111,7 @@
         priority=1,
         clock=Clock(),
         store=store,
-        on_state=lambda job_id, kept: None,
+        on_state=lambda job_id, stored: None,
     )
     return run, store
 
@@ -119,7 +119,7 @@
 def ended(run):
     """Return the state that another host writes when it ends the run's job."""
     state = JobState("h", "/x", MODEL, len(run.job.items), 0, runner="me")
-    return KeptState(msgspec.structs.replace(state, is_ended=True), 9)
+    return VersionedState(msgspec.structs.replace(state, is_ended=True), 9)
 
 
 class JobRunTest(unittest.IsolatedAsyncioTestCase):
@@ -138,7 +138,7 @@
         run, _ = make_run(4)
         listing = asyncio.create_task(run.list_results())
         await asyncio.sleep(0)
-        run.note_state(ended(run))
+        run.apply_state(ended(run))
         async with asyncio.timeout(1):
             await listing
 
@@ -155,17 +155,17 @@
         for done in self.executor.running.values():
             done.set_result(None)
         await asyncio.sleep(0.1)
-        self.assertEqual((store.kept.state.runner, store.results), ("", []))
+        self.assertEqual((store.stored.state.runner, store.results), ("", []))
         store.answers.set()
         async with asyncio.timeout(2):
             await listing
-        self.assertEqual((store.kept.state.runner, len(store.results)), ("me", 4))
+        self.assertEqual((store.stored.state.runner, len(store.results)), ("me", 4))
 
     async def test_items_stop_when_another_process_was_first_to_run_the_job(self):
         scheduler = self.make_scheduler()
         run, store = make_run(4, runner="")
-        state = msgspec.structs.replace(store.kept.state, runner="other")
-        store.kept = KeptState(state, 2)
+        state = msgspec.structs.replace(store.stored.state, runner="other")
+        store.stored = VersionedState(state, 2)
         scheduler.add(run)
         running = asyncio.create_task(scheduler.run())
         self.addCleanup(running.cancel)
@@ -178,8 +178,8 @@
     async def test_hearing_of_its_own_first_write_stops_no_run(self):
         """The feed tells of it before the write is answered."""
         run, store = make_run(4, runner="")
-        state = msgspec.structs.replace(store.kept.state, runner="me")
-        run.note_state(KeptState(state, 2))
+        state = msgspec.structs.replace(store.stored.state, runner="me")
+        run.apply_state(VersionedState(state, 2))
         self.assertFalse(run.is_over)
 
     async def test_stopped_items_do_not_trouble_the_scheduler(self):
@@ -192,7 +192,7 @@
         self.assertEqual(len(run.running_by_id), 6)
         # One engine has turned slow, so that its items are to be moved.
         for name, pace in (("a", 40), ("b", 400)):
-            self.pool.note_events(self.pool.upstream(name), pace, 1)
+            self.pool.record_events(self.pool.upstream(name), pace, 1)
         run.stop()
         scheduler.wake()
         await asyncio.sleep(0.25)
@@ -243,11 +243,11 @@
         run, _ = make_run(1)
         item_run = run.waiting[0]
         item_run.add(Event("0", "old", None, b""), 1)
-        kept = [item_run.unkept()]
-        item_run.forget_text()
+        stored = [item_run.unsaved()]
+        item_run.restart()
         item_run.add(Event("0", "new", None, b""), 2)
-        kept.append(item_run.unkept())
-        again, _ = make_run(1, {0: kept})
+        stored.append(item_run.unsaved())
+        again, _ = make_run(1, {0: stored})
         self.assertEqual(again.waiting[0].events, ["new"])
         self.assertEqual(again.waiting[0].versions, [2])
 
@@ -288,7 +288,7 @@
         async with asyncio.timeout(2):
             await listing
         self.assertEqual(len(store.results), 6)
-        self.assertEqual(store.kept.version, 2)
+        self.assertEqual(store.stored.version, 2)
 
 
 if __name__ == "__main__":
--- a/test/test_job_supervisor.py
+++ b/test/test_job_supervisor.py
@@ -7,16 +7,16 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.job.job import Job, JobState
 from goldcrestmoor.job.job_api import JobApi
-from goldcrestmoor.job.job_store import KeptState
+from goldcrestmoor.job.job_store import VersionedState
 from goldcrestmoor.job.job_supervisor import JobSupervisor
-from goldcrestmoor.job.runner_choice import FAR_DELAY_MS, NEAR_DELAY_MS
+from goldcrestmoor.job.runner_choice import OTHER_ZONE_DELAY_MS, SAME_ZONE_DELAY_MS
 from goldcrestmoor.request.event_stream import Event
 from test import _common
 from test.test_job_run import make_run
 
 JOB = Job("j", "h", "/", ())
 # Well under the delay of any host that has not accepted the job.
-AT_ONCE_MS = NEAR_DELAY_MS // 2
+AT_ONCE_MS = SAME_ZONE_DELAY_MS // 2
 
 
 class FakeDuties:
@@ -54,13 +54,15 @@
     async def accept(self, job, zone, deadline):
         if self.failure:
             raise self.failure
-        kept = KeptState(JobState(job.host, job.path, job.model, 1, 0, zone=zone), 1)
-        self._supervisor.note(job.id, kept)
+        stored = VersionedState(
+            JobState(job.host, job.path, job.model, 1, 0, zone=zone), 1
+        )
+        self._supervisor.update_state(job.id, stored)
         await asyncio.sleep(0.01)
-        return kept
+        return stored
 
 
-class BoardTest(unittest.IsolatedAsyncioTestCase):
+class JobSupervisorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.clock = Clock()
         self.duties = FakeDuties(self.clock)
@@ -98,7 +100,7 @@
     def hear(self, zone):
         """Take in that a host of a zone has accepted the job."""
         state = JobState(JOB.host, JOB.path, JOB.model, 1, 0, zone=zone)
-        self.supervisor.note(JOB.id, KeptState(state, 1))
+        self.supervisor.update_state(JOB.id, VersionedState(state, 1))
 
     async def test_the_host_that_accepts_a_job_takes_it_up_at_once(self):
         seen_ms = self.clock.now_ms()
@@ -109,13 +111,13 @@
         seen_ms = self.clock.now_ms()
         self.hear("zone-a")
         waited_ms = await self.claim_ms(seen_ms)
-        self.assertGreaterEqual(waited_ms, NEAR_DELAY_MS)
-        self.assertLess(waited_ms, FAR_DELAY_MS)
+        self.assertGreaterEqual(waited_ms, SAME_ZONE_DELAY_MS)
+        self.assertLess(waited_ms, OTHER_ZONE_DELAY_MS)
 
     async def test_a_host_of_another_zone_leaves_the_job_to_its_zone(self):
         seen_ms = self.clock.now_ms()
         self.hear("zone-b")
-        self.assertGreaterEqual(await self.claim_ms(seen_ms), FAR_DELAY_MS)
+        self.assertGreaterEqual(await self.claim_ms(seen_ms), OTHER_ZONE_DELAY_MS)
 
     async def test_a_runner_that_was_restarted_goes_on_at_once(self):
         self.duties.was_held = True
@@ -141,4 +143,4 @@
             await self.job_api.submit(JOB)
         seen_ms = self.clock.now_ms()
         self.hear("zone-a")
-        self.assertGreaterEqual(await self.claim_ms(seen_ms), NEAR_DELAY_MS)
+        self.assertGreaterEqual(await self.claim_ms(seen_ms), SAME_ZONE_DELAY_MS)
