--- a/goldcrestmoor/job/__init__.py
+++ b/goldcrestmoor/job/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: many requests accepted at once, run later, their results kept."""
+"""Batch jobs: requests that are accepted together, run later, with stored results."""
--- a/goldcrestmoor/job/calls.py
+++ b/goldcrestmoor/job/calls.py
@@ -1,4 +1,4 @@
-"""What submitters and readers ask of batch jobs."""
+"""Requests to submit, read and end batch jobs."""
 
 import msgspec
 
@@ -11,8 +11,8 @@
     """Return listed results.
 
     :param job_id: the job.
-    :param after: the first position that is wanted.
-    :param wait_ms: how long the answer may wait for a result, in milliseconds.
+    :param after: the position of the first result to return.
+    :param wait_ms: how long the response may wait for a result, in milliseconds.
     """
 
     job_id: str
@@ -32,7 +32,7 @@
 
 
 class EndJob(msgspec.Struct, frozen=True):
-    """Run no more of a job.
+    """Start no more items of a job.
 
     :param job_id: the job.
     """
--- a/goldcrestmoor/job/engine_choice.py
+++ b/goldcrestmoor/job/engine_choice.py
@@ -1,31 +1,32 @@
-"""Which engine an item goes to.
+"""Selection of the engine that runs an item.
 
-The load this answers: a step's items come all at once, a few hundred streams for a
-few dozen slots, and the longest first. Engines differ in speed, one has turned several
-times slower, another loads new weights and a third has just gone. The slots of the
-fastest engines fill first, evenly, so that the longest items are made there, and the
-short ones where a slower engine costs them little. Items of one group should meet on
-one engine, which has then read their prompt.
+Workload: the items of a step arrive together, a few hundred streams for a few dozen
+slots, longest first. Engines differ in speed: one has become several times slower,
+another is loading new weights and a third has just stopped. The slots of the fastest
+engines are filled first, evenly, so that they run the longest items, and slower engines
+run the short items, where they cost little. Items of one group preferably run on the
+same engine, which has then already processed their prompt.
 """
 
 import msgspec
 
-# Engines whose pace differs by less are filled evenly; the pace of like engines differs
-# by a few hundredths from one measurement to the next.
+# Engines whose time per event differs by less than this factor are filled evenly;
+# identical engines differ by a few percent from one measurement to the next.
 EQUAL_SPEED_FACTOR = 1.15
-# A group's engine is kept while it is no more than this share fuller than the rest.
+# A group stays on its engine while that engine's utilization exceeds the lowest one
+# by no more than this.
 AFFINITY_MARGIN = 0.25
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """One engine as the choice sees it.
+    """The state of one engine, as input of the selection.
 
     :param name: the engine's name.
-    :param slots: how many requests it runs at a time.
-    :param in_flight: how many this host has sent it.
-    :param version: the weight version that it holds of the item's model.
-    :param ms_per_event: the pace of its streams; None while unknown.
-    :param is_blocked: whether it has just refused work or failed.
+    :param slots: the number of requests that it runs concurrently.
+    :param in_flight: the number of running requests that this host has sent it.
+    :param version: the weight version of the item's model that it has loaded.
+    :param ms_per_event: the mean time per event of its streams; None while unknown.
+    :param is_blocked: whether it is backed off after a rejection or failure.
     """
 
     name: str
@@ -37,13 +38,13 @@
 
 
 def choose_engine(engines, min_version, group_engine="", avoid=()):
-    """Return the name of the engine that an item goes to, or None to wait.
+    """Return the name of the engine that runs an item, or None to wait.
 
     :param engines: an iterable of :class:`EngineLoad`.
-    :param min_version: the oldest weight version that may make the item.
-    :param group_engine: the engine that last took an item of the same group.
-    :param avoid: engines that the item has just failed on; used only when no other
-        fits.
+    :param min_version: the oldest weight version accepted for the item.
+    :param group_engine: the engine that last ran an item of the same group.
+    :param avoid: engines where the item has just failed; used only when no other
+        engine is eligible.
     """
     eligible = [
         engine
@@ -72,7 +73,7 @@
 
 
 def _fastest(engines):
-    """Return the engines that are about as fast as the fastest, or not known yet."""
+    """Return the engines about as fast as the fastest, and those of unknown speed."""
     known_ms_per_event = [e.ms_per_event for e in engines if e.ms_per_event is not None]
     max_ms = min(known_ms_per_event, default=0) * EQUAL_SPEED_FACTOR
     return [e for e in engines if (e.ms_per_event or 0) <= max_ms]
--- a/goldcrestmoor/job/engine_pool.py
+++ b/goldcrestmoor/job/engine_pool.py
@@ -1,4 +1,4 @@
-"""The engines as this host's items find them: free slots, pace, refusals."""
+"""This host's view of the engines: free slots, time per event, rejections."""
 
 import logging
 
@@ -6,22 +6,22 @@
 
 log = logging.getLogger("goldcrestmoor.engines")
 
-# A full engine has a free slot again after a few events.
+# A full engine frees a slot after a few events.
 REJECTED_BACKOFF_MS = 100
-# An engine that crashed or is cut off is listed for some seconds yet.
+# An engine that crashed or is partitioned stays listed for some seconds.
 FAILED_BACKOFF_MS = 500
-# A dead engine is off the list after three missed heartbeats, some four seconds.
+# A dead engine is delisted after three missed heartbeats, some four seconds.
 FAILED_BACKOFF_MAX_MS = 4000
-# An engine that has made events since then lives, whatever became of one stream.
+# An engine that sent an event this recently is alive, even if one stream failed.
 RECENT_EVENT_MS = 300
-# Further failures in a row do not lengthen the pause.
+# Further consecutive failures do not lengthen the backoff.
 MAX_FAILURES = 8
-# The weight of the newest event in an engine's pace, over all of its streams.
+# The weight of the newest sample in an engine's moving average, over all its streams.
 EWMA_WEIGHT = 0.05
 
 
 class _EngineState:
-    """What this host has met at one incarnation of an engine."""
+    """This host's measurements of one incarnation of an engine."""
 
     __slots__ = (
         "in_flight",
@@ -42,7 +42,7 @@
 
 
 class EnginePool:
-    """Count what this host has in flight at each engine.
+    """Tracks in-flight requests, speed and backoff of each engine.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
@@ -79,10 +79,10 @@
         )
 
     def ms_per_event_by_engine(self, service):
-        """Return the pace of each usable engine of a service whose pace is known.
+        """Return the measured time per event of each usable engine of a service.
 
         :param service: the service's name.
-        :return: milliseconds for each event, by engine.
+        :return: milliseconds per event, by engine name; unmeasured engines are absent.
         """
         state_by_name = {
             upstream.name: self._state_by_key.get(_key(upstream))
@@ -102,25 +102,25 @@
         return self._directory.upstream_by_name[name]
 
     def begin(self, upstream):
-        """Count a stream that is about to be sent.
+        """Count a stream as in flight, before its request is sent.
 
         :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
         """
         state = self._state(upstream)
         state.in_flight += 1
         if state.is_rejecting:
-            # The others wait for what becomes of this one.
+            # Send no other until this stream shows whether the engine accepts work.
             self.block(upstream, REJECTED_BACKOFF_MS)
 
     def end(self, upstream):
-        """Count a stream's end.
+        """Count a stream as ended.
 
         :param upstream: the engine.
         """
         self._state(upstream).in_flight -= 1
 
     def record_accepted(self, upstream):
-        """Note that an engine has begun to answer: it takes work.
+        """Record that an engine has begun its response, and so accepts work.
 
         :param upstream: the engine.
         """
@@ -129,11 +129,11 @@
         state.failures = 0
 
     def record_events(self, upstream, elapsed_ms, count):
-        """Take in the pace of a stream.
+        """Record the time that new events of a stream took.
 
         :param upstream: the engine.
-        :param elapsed_ms: the time since the stream's last events.
-        :param count: how many events have come since.
+        :param elapsed_ms: the time since the stream's previous events, in milliseconds.
+        :param count: the number of new events.
         """
         state = self._state(upstream)
         state.last_event_ms = self._clock.now_ms()
@@ -144,7 +144,7 @@
             state.ms_per_event = previous_ms + EWMA_WEIGHT * (sample_ms - previous_ms)
 
     def record_rejected(self, upstream):
-        """Note that an engine took no work: send it one item after a while, not all.
+        """Record that an engine rejected work; after a backoff, it gets one item first.
 
         :param upstream: the engine.
         """
@@ -152,7 +152,7 @@
         self.block(upstream, REJECTED_BACKOFF_MS)
 
     def record_interrupted(self, upstream):
-        """Note that a stream broke off; leave its engine alone unless it lives.
+        """Record an interrupted stream; back its engine off unless it is known alive.
 
         :param upstream: the engine.
         """
@@ -164,7 +164,7 @@
         ):
             return
         if now_ms < state.blocked_until_ms:
-            # The other streams of the same failure say nothing new.
+            # Other streams that end by the same failure do not count again.
             return
         state.is_rejecting = True
         pause_ms = min(FAILED_BACKOFF_MAX_MS, FAILED_BACKOFF_MS << state.failures)
@@ -172,7 +172,7 @@
         self.block(upstream, pause_ms)
 
     def block(self, upstream, duration_ms):
-        """Send an engine nothing for a while.
+        """Back an engine off.
 
         :param upstream: the engine.
         :param duration_ms: for how long, in milliseconds.
@@ -188,7 +188,7 @@
         return state
 
     def _remove_unlisted(self):
-        """Forget incarnations that are listed no more, so that they never add up."""
+        """Remove delisted incarnations, so that they do not accumulate."""
         listed = {_key(u) for u in self._directory.upstream_by_name.values()}
         for key, state in list(self._state_by_key.items()):
             if key not in listed and not state.in_flight:
--- a/goldcrestmoor/job/item_order.py
+++ b/goldcrestmoor/job/item_order.py
@@ -1,9 +1,9 @@
-"""In which order the waiting items of batch jobs are started.
+"""The order in which the waiting items of batch jobs are started.
 
-The load this answers: a step's items come all at once, more than there are slots, and
-a few are many times longer than the rest. A step is worth something by whole groups
-that come before it is due, and a long item takes most of that time by itself. So the
-step that is due first goes first, and within it the longest items, by their hints.
+Workload: the items of a step arrive together, more than there are slots, and a few are
+many times longer than the rest. The value of a step is the number of groups completed
+before its deadline, and a long item alone takes most of that time. So the step with the
+earliest deadline goes first, and within it the items with the most expected tokens.
 """
 
 
@@ -18,7 +18,8 @@
 def order_items(items):
     """Return the waiting items of one job in the order in which to start them.
 
-    Items that have made some of their text go first: their slots were paid for.
+    Items that already have output go first, so that the slot time spent on it is not
+    wasted.
 
     :param items: an iterable with ``events``, ``position`` and ``expected_tokens``.
     """
--- a/goldcrestmoor/job/item_run.py
+++ b/goldcrestmoor/job/item_run.py
@@ -1,4 +1,4 @@
-"""One item of a batch job on its way: what it has made so far, and one try of it."""
+"""The state of a running item of a batch job, and single attempts to run it."""
 
 import logging
 
@@ -14,24 +14,24 @@
 STATUS_OK = 200
 STATUS_FAILED = 500
 STATUS_IMPOSSIBLE = 422
-# No more is sent to an engine than it has slots, so that it begins at once.
+# An engine never gets more requests than it has slots, so it responds at once.
 HEAD_TIMEOUT_MS = 1500
-# Ten times the pause between events that callers bear with; an engine that is four
-# times slower than usual still makes an event in 200 ms.
+# Ten times the gap between events that callers tolerate; an engine four times slower
+# than usual still sends an event every 200 ms.
 IDLE_TIMEOUT_MS = 1200
 ATTEMPT_TIMEOUT_MS = 60_000
 
 
 class Finished(msgspec.Struct, frozen=True):
-    """The item's text is whole."""
+    """The item's output is complete."""
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """The engine ran the item and says that it failed."""
+    """The engine ran the item and reported a failure."""
 
 
 class Impossible(msgspec.Struct, frozen=True):
-    """The engine says that the item can never be done."""
+    """The engine reported that the item can never succeed."""
 
 
 class NotRun(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 
 
 class Broken(msgspec.Struct, frozen=True):
-    """The try ended before the text did; what it made is kept.
+    """The attempt was interrupted; the output so far is kept.
 
     :param reason: why, as part of a sentence.
     """
@@ -53,15 +53,15 @@
 
 
 class Moved(msgspec.Struct, frozen=True):
-    """The try was ended here, to go on at another engine."""
+    """This host cancelled the attempt, to continue at another engine."""
 
 
 class ItemTerms(msgspec.Struct, frozen=True):
-    """What holds for the runs of an item.
+    """The constraints on the attempts of an item.
 
-    :param host: the host of its route.
-    :param min_version: the oldest weight version that may make its events.
-    :param single_version: whether one version has to make them all.
+    :param host: the host of the item's route.
+    :param min_version: the oldest weight version accepted for its events.
+    :param single_version: whether all events must come from one weight version.
     """
 
     host: str
@@ -70,20 +70,22 @@
 
 
 class ItemRun:
-    """An item and what has been made of it.
+    """An item with its output so far.
 
     :param item: the :class:`~goldcrestmoor.job.job.Item`.
-    :param position: its place in the job.
+    :param position: its index in the job.
     :ivar events: the data of the events so far.
     :ivar last_id: the id of the last of them.
-    :ivar versions: the weight versions that made them, in the order of first use.
-    :ivar failures: how often an engine said that it failed.
-    :ivar engine: the engine that works on it, or None.
-    :ivar generation: grows when it starts over from its prompt.
-    :ivar saved_events: how many of the events are kept in the store.
-    :ivar started_ms: when its first try began.
-    :ivar avoid: the engine that it was last broken off at.
-    :ivar is_moving: whether its try is being ended, to go on at another engine.
+    :ivar versions: the weight versions that generated them, in order of first use.
+    :ivar failures: how often an engine reported that the item failed.
+    :ivar attempts: how often it was started.
+    :ivar engine: the engine that runs it, or None.
+    :ivar generation: increases when it restarts from its prompt.
+    :ivar saved_events: the number of events in the store.
+    :ivar started_ms: when its first attempt began.
+    :ivar avoid: the engine of its last unsuccessful attempt.
+    :ivar is_moving: whether its attempt is being cancelled, to continue at another
+        engine.
     """
 
     __slots__ = (
@@ -130,7 +132,7 @@
         return self.item.expected_tokens
 
     def restart(self):
-        """Start over from the prompt."""
+        """Discard the output and restart from the prompt."""
         self.generation += 1
         self.events = []
         self.last_id = ""
@@ -138,7 +140,7 @@
         self.saved_events = 0
 
     def unsaved(self):
-        """Return the events that are not kept yet, as a partial text."""
+        """Return the events that are not in the store yet, as a :class:`Partial`."""
         return Partial(
             self.position,
             self.generation,
@@ -149,7 +151,7 @@
         )
 
     def resume(self, partials):
-        """Take over what an earlier runner has kept of the item.
+        """Restore the output that an earlier runner has stored.
 
         :param partials: its :class:`~goldcrestmoor.job.job.Partial` values, in the
             order of their keys.
@@ -164,11 +166,11 @@
         self.saved_events = len(self.events)
 
     def add(self, event, version):
-        """Take in one event.
+        """Append one event.
 
         :param event: the :class:`~goldcrestmoor.request.event_stream.Event`.
-        :param version: the weight version that made it.
-        :return: whether it is the one that follows the last.
+        :param version: the weight version that generated it.
+        :return: whether its id directly follows that of the last event.
         """
         if not event.id.isdigit():
             return False
@@ -182,11 +184,11 @@
 
 
 class ItemExecutor:
-    """Send items to engines and take in what they make.
+    """Sends items to engines and collects their output.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param dialect: how the engines are spoken to.
+    :param dialect: the request and response format of the engines.
     """
 
     __slots__ = ("_clock", "_http", "_dialect")
@@ -197,14 +199,14 @@
         self._dialect = dialect
 
     async def attempt(self, run, engine, terms, on_events):
-        """Run an item at an engine, from the events that are there.
+        """Run an item at an engine, continuing after the events that it has.
 
         :param run: the :class:`ItemRun`.
         :param engine: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
         :param terms: the :class:`ItemTerms`.
-        :param on_events: called with the number of events that came together; with
-            0 once the engine has begun its answer.
-        :return: how it ended, one of the classes above.
+        :param on_events: called with the number of events received together, and with
+            0 once the engine has begun its response.
+        :return: the outcome, one of the classes above.
         """
         dialect = self._dialect
         headers = dialect.item_headers(run.item, terms.host)
@@ -236,15 +238,15 @@
         dialect = self._dialect
         if dialect.ran(response.status, response.headers) is Ran.NOT_RUN:
             await _drain(response)
-            return NotRun(f"answered {response.status}")
+            return NotRun(f"status {response.status}")
         if not dialect.is_genuine(run.item.id, response.status, response.headers):
-            return Broken("the answer belongs to another request or is spoilt")
+            return Broken("the response is corrupt or belongs to another request")
         if response.status != STATUS_OK:
             await _drain(response)
             return _outcome_of(response.status)
         version = dialect.weight_version(response.headers)
         if version is None:
-            return Broken("the answer states no weight version")
+            return Broken("the response has no weight version")
         on_events(0)
         reader = EventParser(dialect.EVENT_FIELDS)
         async for chunk in response.body():
@@ -261,9 +263,9 @@
 
 
 def _add_event(run, event, version, terms):
-    """Take in an event; return why it cannot be, or an empty string."""
+    """Append an event; return why it is invalid, or an empty string."""
     if version < terms.min_version:
-        return f"weight version {version} is too old"
+        return f"weight version {version} is older than {terms.min_version}"
     if terms.single_version and run.versions and version not in run.versions:
         run.restart()
         return "the weight version changed"
@@ -277,10 +279,10 @@
         return Failed()
     if status == STATUS_IMPOSSIBLE:
         return Impossible()
-    return Broken(f"answered {status}")
+    return Broken(f"status {status}")
 
 
 async def _drain(response):
-    """Read the rest of a short answer, so that its connection can be used again."""
+    """Read the rest of a short response, so that its connection can be reused."""
     async for _ in response.body():
         pass
--- a/goldcrestmoor/job/job.py
+++ b/goldcrestmoor/job/job.py
@@ -6,14 +6,14 @@
 class Item(msgspec.Struct, frozen=True):
     """One request of a batch job.
 
-    :param id: its id, unique among all jobs but for items that are asked again.
-    :param path: the target of its request.
-    :param headers: the headers of its request, by name.
-    :param body: the body of its request.
-    :param tokens: the most tokens that it may take, prompt and output together.
+    :param id: the item's id, unique across all jobs except for resubmitted items.
+    :param path: the target of the request.
+    :param headers: the headers of the request, by name.
+    :param body: the body of the request.
+    :param tokens: the token limit, prompt and output together.
     :param group: the group whose items share a prompt; empty for none.
-    :param expected_tokens: its submitter's guess at the output's length, right at
-        the median and often far off; 0 for none.
+    :param expected_tokens: the submitter's estimate of the output length, accurate
+        at the median but often far off for single items; 0 for none.
     """
 
     id: str
@@ -28,14 +28,14 @@
 class Job(msgspec.Struct, frozen=True):
     """A batch job as it was submitted.
 
-    :param id: its id.
-    :param host: the host that its submitter named.
-    :param path: the path that it was submitted to.
-    :param items: its items, in order.
-    :param model: the model that its items are for; empty for none.
-    :param min_version: the oldest weight version that may make its tokens.
+    :param id: the job's id.
+    :param host: the host of the submit request.
+    :param path: the path of the submit request.
+    :param items: the items, in order.
+    :param model: the model that serves the items; empty for none.
+    :param min_version: the oldest weight version accepted for the output.
     :param step: the trainer's step.
-    :param target_groups: how many whole groups the trainer waits for.
+    :param target_groups: the number of complete groups that the trainer waits for.
     """
 
     id: str
@@ -49,17 +49,17 @@
 
 
 class JobState(msgspec.Struct, frozen=True):
-    """What is written of a job each time that something changes.
-
-    :param host: the host that its submitter named.
-    :param path: the path that it was submitted to.
-    :param model: the model that its items are for.
-    :param total: how many items it has.
-    :param submitted_ms: when it was first submitted, on the store's clock.
-    :param object_key: the object that keeps the job itself; empty where rows do.
-    :param runner: the process that runs it; empty for none yet.
-    :param listed: how many results have been listed.
-    :param is_ended: whether its submitter has ended it.
+    """The persisted state of a job, rewritten on each change.
+
+    :param host: the host of the submit request.
+    :param path: the path of the submit request.
+    :param model: the model that serves the items.
+    :param total: the number of items.
+    :param submitted_ms: when the job was first submitted, on the store's clock.
+    :param object_key: the object that contains the job; empty if it is in rows.
+    :param runner: the process that runs the job; empty for none yet.
+    :param listed: the number of results listed so far.
+    :param is_ended: whether the submitter has ended the job.
     :param zone: the availability zone of the host that accepted it.
     """
 
@@ -76,14 +76,14 @@
 
 
 class Partial(msgspec.Struct, frozen=True):
-    """Events that a running item has made since the last that were kept.
+    """Events of a running item that follow those stored before.
 
-    :param position: the item's place in the job.
-    :param generation: grows when the item starts over from its prompt.
-    :param first: how many of its events were kept before.
+    :param position: the item's index in the job.
+    :param generation: increases when the item restarts from its prompt.
+    :param first: the number of events stored before these.
     :param events: the data of the new events.
     :param last_id: the id of the last of them.
-    :param versions: the weight versions that made all events so far.
+    :param versions: the weight versions that generated all events so far.
     """
 
     position: int
@@ -95,12 +95,13 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What became of an item.
+    """The final result of an item.
 
     :param id: the item's id.
-    :param is_completed: whether the text is whole; else the item was given up.
-    :param text: the data of all events, one a line.
-    :param versions: the weight versions that made the text.
+    :param is_completed: whether the output is complete; otherwise the item was
+        abandoned.
+    :param text: the data of all events, one per line.
+    :param versions: the weight versions that generated the output.
     """
 
     id: str
--- a/goldcrestmoor/job/job_api.py
+++ b/goldcrestmoor/job/job_api.py
@@ -1,4 +1,4 @@
-"""Answers what submitters and readers ask of batch jobs, on any host."""
+"""Handles requests to submit, read and end batch jobs, on any host."""
 
 import collections
 import logging
@@ -10,11 +10,11 @@
 
 log = logging.getLogger("goldcrestmoor.desk")
 
-# Submitters come back quickly, to another host: longer trying here helps nobody.
+# Submitters retry quickly at another host, so a longer timeout here has no benefit.
 ACCEPT_TIMEOUT_MS = 2500
-# Outages of the store last seconds; submitters hear of its end soon and don't press it.
+# Store outages last seconds. This notices their end soon without overloading the store.
 STORE_RETRY_AFTER_MS = 500
-# Jobs whose bodies were asked for lately; clients ask for several items in a row.
+# Recently loaded jobs; clients request the bodies of several items in a row.
 MAX_JOBS_CACHED = 2
 
 
@@ -25,7 +25,7 @@
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
     :param supervisor: the :class:`~goldcrestmoor.job.job_supervisor.JobSupervisor`.
     :param zone: this host's availability zone.
-    :param is_current: tells whether the board has heard from the store lately.
+    :param is_current: returns whether the supervisor's copy of the store is up to date.
     """
 
     __slots__ = (
@@ -46,15 +46,15 @@
         self._job_by_id = collections.OrderedDict()
 
     async def submit(self, job):
-        """Accept a job, so that it is kept whole whatever dies.
+        """Store a job durably, so that it survives the failure of any process.
 
         :param job: the :class:`~goldcrestmoor.job.job.Job`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it surely was not
-            accepted, ``OUTCOME_UNKNOWN`` when it may have been.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when the job was certainly
+            not accepted, ``OUTCOME_UNKNOWN`` when it may have been.
         """
         if job.id in self._supervisor.state_by_job:
             return
-        self._check_store_current("kept")
+        self._check_store_current("stored")
         deadline = Deadline.after(self._clock, ACCEPT_TIMEOUT_MS)
         with self._supervisor.caching(job):
             stored = await self._store.accept(job, self._zone, deadline)
@@ -69,14 +69,14 @@
         )
 
     async def results(self, call, max_bytes):
-        """Return a page of a job's results, waiting for one where that is asked.
+        """Return a page of a job's results, waiting for one if requested.
 
         :param call: a :class:`~goldcrestmoor.job.calls.ReadResults`.
-        :param max_bytes: how much text to return, but at least one result.
+        :param max_bytes: the size limit of the page, which has at least one result.
         :return: the number of items and a list of
             :class:`~goldcrestmoor.job.job.Result`.
-        :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when that
-            cannot be told.
+        :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when the
+            store cannot be reached.
         """
         stored = await self._load_state(call.job_id)
         if stored.state.listed <= call.after and call.wait_ms:
@@ -93,8 +93,8 @@
         """Return the body of an item as it was submitted.
 
         :param call: a :class:`~goldcrestmoor.job.calls.ReadItem`.
-        :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when that
-            cannot be told.
+        :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE`` when the
+            store cannot be reached.
         """
         stored = await self._load_state(call.job_id)
         job = await self._load_job(call.job_id, stored.state)
@@ -104,7 +104,7 @@
         raise ServiceError(ErrorKind.NOT_FOUND, "The job has no such item.")
 
     async def end(self, call):
-        """End a job, however often asked.
+        """End a job. Safe to call again.
 
         :param call: a :class:`~goldcrestmoor.job.calls.EndJob`.
         :raises ServiceError: ``NOT_FOUND``, or ``PLATFORM_UNAVAILABLE``.
--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -1,4 +1,4 @@
-"""One batch job that this process runs: its items, and the results to be listed."""
+"""A batch job that this process runs: its items and its unlisted results."""
 
 import asyncio
 import itertools
@@ -13,30 +13,31 @@
 
 log = logging.getLogger("goldcrestmoor.jobs")
 
-# Results are gathered for so long before they are written, which bounds how often a
-# busy job writes and every host hears of it.
+# Results are batched for this long before a write, which bounds how often a busy job
+# writes to the store and sends an update to every host.
 BATCH_DELAY_MS = 40
-# The text of an item is first kept when a run of it has cost over a second of a slot,
-# and then as much again is at stake; most items are shorter and never kept.
+# The output of an item is stored whenever this many new events have accumulated, over
+# a second of slot time. Most items are shorter and are never stored while they run.
 MIN_UNSAVED_EVENTS = 30
-# How often that is looked at, which bounds the writes of a job that lists nothing.
+# How often unsaved events are checked, which bounds the writes of a job without new
+# results.
 SAVE_CHECK_INTERVAL_MS = 700
 
 
 class JobRun:
-    """The items of a job until all are listed, or another process runs it.
+    """Runs the items of a job until all are listed or another process runs the job.
 
     :param job: the :class:`~goldcrestmoor.job.job.Job`.
     :param stored: its :class:`~goldcrestmoor.job.job_store.VersionedState`, with this
-        process as its runner, or with none yet.
+        process as its runner, or without a runner.
     :param process_id: this process, by a name that no other has.
-    :param listed_ids: the ids of the items that are listed already.
-    :param partials: what is kept of the others' texts, by position.
+    :param listed_ids: the ids of the items whose results are already listed.
+    :param partials: the stored partial outputs of the other items, by position.
     :param policy: the ``JobPolicy`` of its route.
     :param priority: its route's priority.
     :param clock: the clock.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
-    :param on_state: called with each :class:`VersionedState` that is written or met.
+    :param on_state: called with each :class:`VersionedState` written or received.
     """
 
     __slots__ = (
@@ -101,11 +102,11 @@
 
     @property
     def is_over(self):
-        """Whether none of its items is to be started any more."""
+        """Whether no more items may be started."""
         return self._is_over or self._is_handed_over
 
     def age_ms(self):
-        """Return for how long this process has run the job."""
+        """Return how long this process has run the job, in milliseconds."""
         return self._clock.now_ms() - self._started_ms
 
     def next_items(self):
@@ -113,7 +114,7 @@
         return order_items(self.waiting)
 
     def start(self, run, engine):
-        """Note that an item is being run.
+        """Record that an item has been started at an engine.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
         :param engine: the engine's name.
@@ -127,7 +128,7 @@
         self.engine_by_group[run.group] = engine
 
     def requeue(self, run):
-        """Note that an item has to be run again.
+        """Put an item back into the queue after an unsuccessful attempt.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
         """
@@ -137,19 +138,19 @@
             self.waiting.append(run)
 
     def finish(self, run, is_completed):
-        """Note an item's end, to be listed.
+        """Record the result of an item, to be listed.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
-        :param is_completed: whether its text is whole; else it is given up.
+        :param is_completed: whether its output is complete; otherwise it is abandoned.
         """
         self.running_by_id.pop(run.item.id, None)
         if run.started_ms is not None:
             log.info(
-                "Item %s of job %s %s: waited %d ms, then %d ms in %d tries, last at "
+                "Item %s of job %s %s: waited %d ms, ran %d ms in %d attempts, last at "
                 "%s; %d events, %d tokens expected.",
                 run.item.id,
                 self.job.id,
-                "done" if is_completed else "given up",
+                "completed" if is_completed else "abandoned",
                 run.started_ms - self._started_ms,
                 self._clock.now_ms() - run.started_ms,
                 run.attempts,
@@ -163,10 +164,10 @@
         self._has_finished.set()
 
     async def list_results(self):
-        """Write results as they come, until all are listed or the job is over.
+        """Write results until all are listed or the job is over.
 
-        The first write says who runs the job. Its items are not held back for that:
-        two hosts may run an item, and only one of them can list it.
+        The first write records this process as the runner. Items start before it
+        completes: two hosts may run an item, but only one of them can list it.
         """
         try:
             if not await self._claim():
@@ -176,7 +177,7 @@
                 if self._is_over or not await self._write():
                     return
                 if self._is_handed_over and not self._has_unsaved():
-                    log.info("Job %s is left to the next runner.", self.job.id)
+                    log.info("Job %s handed over to the next runner.", self.job.id)
                     return
             log.info("All results of job %s are listed.", self.job.id)
         finally:
@@ -184,7 +185,7 @@
             self._has_ended.set()
 
     async def _claim(self):
-        """Write that this process runs the job; tell whether it does."""
+        """Store this process as the runner; return whether it is, and the job open."""
         if self._stored.state.runner == self._process_id:
             return True
         state = msgspec.structs.replace(self._stored.state, runner=self._process_id)
@@ -196,21 +197,21 @@
         return not stored.state.is_ended
 
     def stop(self):
-        """Start nothing more, and stop what is running."""
+        """Start no more items and cancel those that are running."""
         self._is_over = True
         self._has_finished.set()
         self.waiting.clear()
         self._cancel_running()
 
     async def hand_over(self):
-        """Stop, once all that was made is kept for the next runner to go on from."""
+        """Stop once all output is stored for the next runner to continue from."""
         self._is_handed_over = True
         self.waiting += self._cancel_running()
         self._has_finished.set()
         await self._has_ended.wait()
 
     def _cancel_running(self):
-        """Stop what is running; return it."""
+        """Cancel the running items and return them."""
         runs = list(self.running_by_id.values())
         self.running_by_id.clear()
         for run in runs:
@@ -242,7 +243,9 @@
     def _abandon_items(self):
         remaining = self.waiting + list(self.running_by_id.values())
         if remaining:
-            log.warning("Job %s: %d items are given up.", self.job.id, len(remaining))
+            log.warning(
+                "Job %s expired: %d items abandoned.", self.job.id, len(remaining)
+            )
         self.waiting.clear()
         for run in remaining:
             if run.task is not None:
@@ -250,7 +253,10 @@
             self.finish(run, is_completed=False)
 
     async def _write(self):
-        """Write what has finished; tell whether this process still runs the job."""
+        """Write finished results and partial outputs.
+
+        :return: whether this process is still the runner and the job is open.
+        """
         budget = job_store.WriteBudget()
         results = list(
             itertools.takewhile(lambda r: budget.reserve(len(r.text)), self._finished)
@@ -279,7 +285,7 @@
         return not stored.state.is_ended
 
     def _partials(self, budget):
-        """Return the partial texts that are long enough to be kept, by run."""
+        """Return the partial outputs that are due to be stored, by run."""
         partials = {}
         if not budget.has_capacity:
             return partials
@@ -291,7 +297,7 @@
         return partials
 
     def _with_unsaved(self):
-        """Yield the items whose text has grown enough to be kept again."""
+        """Yield the items that have enough unsaved events to be stored."""
         min_events = 1 if self._is_handed_over else MIN_UNSAVED_EVENTS
         for run in itertools.chain(self.running_by_id.values(), self.waiting):
             if len(run.events) - run.saved_events >= min_events:
@@ -300,14 +306,14 @@
     def _is_still_runner(self, stored):
         if stored is not None and stored.state.runner == self._process_id:
             return True
-        runner = stored.state.runner if stored else "nobody; it is gone"
-        log.warning("Job %s is run by %s now.", self.job.id, runner)
+        runner = stored.state.runner if stored else "nobody, as it was removed"
+        log.warning("Job %s is now run by %s; stopped here.", self.job.id, runner)
         if stored is not None:
             self._on_state(self.job.id, stored)
         return False
 
     def apply_state(self, stored):
-        """Take in what another process has written of the job.
+        """Apply a state of the job that another process may have written.
 
         :param stored: the :class:`~goldcrestmoor.job.job_store.VersionedState`.
         """
--- a/goldcrestmoor/job/job_store.py
+++ b/goldcrestmoor/job/job_store.py
@@ -1,8 +1,8 @@
-"""What is kept of batch jobs: the job itself, its state and its results.
+"""Storage of batch jobs: the job itself, its state and its results.
 
-A job's state and its results are written in one transaction. Every write names the
-version of the state that it follows; of two processes that believe they run a job,
-only one can write.
+A job's state and its results are written in one transaction. Every write is conditional
+on the version of the state that it follows, so of two processes that assume they run a
+job, only one can write.
 """
 
 import hashlib
@@ -20,28 +20,28 @@
 
 STATE_TABLE = "jobs"
 RESULT_TABLE = "results"
-# The text of long items while they are made.
+# The partial outputs of long items that are still running.
 PARTIAL_TABLE = "partials"
-# The jobs themselves, in chunks; a row is written five times as fast as an object.
+# The jobs themselves, in chunks: writing a row is five times as fast as an object.
 BODY_TABLE = "job_bodies"
 OBJECT_PREFIX = "job-"
 # Below the 64 KiB that a row of the platform's store may hold.
 MAX_CHUNK_BYTES = 60_000
-# Of one transaction, with room for the state's row and its check.
+# Per transaction, with capacity left for the state's row and its check.
 MAX_WRITES = 90
-# Of an entry beside its text: ids, versions and their encoding.
+# Overhead of an entry beside its output: ids, versions and their encoding.
 ENTRY_OVERHEAD_BYTES = 600
 MORE_CHUNKS = b"+"
 LAST_CHUNK = b"."
-# Ten times the usual answer of the store.
+# Ten times the usual latency of the store.
 RETRY_MIN_MS = 40
-# The end of an outage is noticed within this.
+# The end of an outage is noticed within this time.
 RETRY_MAX_MS = 400
-# Keys sort as their numbers do, up to a million items.
+# Zero-padded, so that keys sort numerically, up to a million items.
 POSITION_DIGITS = 6
-# Results of one read: a few hundred kilobytes at most, quick also from a slow store.
+# Rows per read: a few hundred kilobytes at most, which also a slow store reads quickly.
 READ_ROWS = 48
-# Tells apart the few objects that one job could be kept in.
+# Distinguishes the few objects that one job may be stored in.
 DIGEST_BYTES = 8
 
 _job_decoder = msgspec.msgpack.Decoder(Job)
@@ -51,7 +51,7 @@
 
 
 class VersionedState(msgspec.Struct, frozen=True):
-    """A job's state with the version of its row.
+    """A job's state with the version of the row that holds it.
 
     :param state: the :class:`~goldcrestmoor.job.job.JobState`.
     :param version: the row's version.
@@ -62,10 +62,10 @@
 
 
 def decode_state(value):
-    """Return the state that a row holds.
+    """Decode the state in a row.
 
     :param value: the row's bytes.
-    :raises ServiceError: ``INTERNAL`` when it holds none.
+    :raises ServiceError: ``INTERNAL`` when it is malformed.
     """
     try:
         return _state_decoder.decode(value)
@@ -75,7 +75,7 @@
 
 
 class JobStore:
-    """Write and read what is kept of batch jobs.
+    """Reads and writes batch jobs in the store.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param store: the store's client, for rows and objects.
@@ -90,23 +90,25 @@
     def now_ms(self):
         """Return the time on the store's clock.
 
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when it was never heard.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` before the first store response.
         """
         now_ms = self._store.now_ms()
         if now_ms is None:
-            text = "The store's clock was not heard yet."
+            text = "No store response yet, so its clock is unknown."
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, text)
         return now_ms
 
     async def accept(self, job, zone, deadline):
-        """Keep a job, so that whatever dies it is run; once, however often asked.
+        """Store a job durably, so that it runs even if this process fails.
+
+        Storing the same job again has no effect.
 
         :param job: the :class:`~goldcrestmoor.job.job.Job`.
         :param zone: this host's availability zone.
-        :param deadline: when to give up.
+        :param deadline: when to stop retrying.
         :return: the :class:`VersionedState`.
-        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when the job is surely not
-            kept, ``OUTCOME_UNKNOWN`` when it may be.
+        :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when the job is certainly not
+            stored, ``OUTCOME_UNKNOWN`` when it may be.
         """
         data = msgspec.msgpack.encode(job)
         state = JobState(
@@ -136,7 +138,7 @@
             except ServiceError as e:
                 delay_ms = backoff.next_ms()
                 if delay_ms >= deadline.remaining_ms():
-                    # An object that no row names is nothing that was accepted.
+                    # Without a row that refers to the object, no job was accepted.
                     raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, e.message) from e
                 await self._clock.sleep_ms(delay_ms)
 
@@ -151,8 +153,8 @@
                 answer = await self._store.transact(checks, writes)
                 break
             except ServiceError as e:
-                # An unanswered write may land later, so it is sent again until one
-                # of the two is known to have landed.
+                # A write without a response may still be applied, so it is sent again
+                # until one of the two is known to have been applied.
                 is_unknown = is_unknown or e.kind is ErrorKind.OUTCOME_UNKNOWN
                 delay_ms = backoff.next_ms()
                 if delay_ms >= deadline.remaining_ms():
@@ -176,7 +178,7 @@
         :param job_id: the job.
         :param state: its :class:`~goldcrestmoor.job.job.JobState`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``, or ``INTERNAL`` when it is
-            gone or malformed.
+            missing or malformed.
         """
         if state.object_key:
             data = await self._store.get_object(state.object_key)
@@ -184,25 +186,27 @@
             rows = await self._store.scan(BODY_TABLE, _prefix(job_id))
             data = next(_join_chunks(rows), None)
         if data is None:
-            raise ServiceError(ErrorKind.INTERNAL, f"Job {job_id} itself is gone.")
+            raise ServiceError(
+                ErrorKind.INTERNAL, f"The stored items of job {job_id} are missing."
+            )
         try:
             return _job_decoder.decode(data)
         except msgspec.MsgspecError as e:
-            text = f"What is kept of job {job_id} is malformed."
+            text = f"Stored job {job_id} is malformed."
             raise ServiceError(ErrorKind.INTERNAL, text) from e
 
     async def change(self, job_id, stored, state, results=(), partials=()):
-        """Write a new state, and results at the positions that follow the listed.
+        """Write a new state, and results after those already listed.
 
-        Sent again until its outcome is known, for as long as the caller waits.
+        The write is sent again until its outcome is known or the caller cancels.
 
         :param job_id: the job.
         :param stored: the :class:`VersionedState` that it follows.
-        :param state: the new state, its count of listed results included.
+        :param state: the new state, with its updated count of listed results.
         :param results: the new :class:`~goldcrestmoor.job.job.Result` values.
-        :param partials: :class:`~goldcrestmoor.job.job.Partial` values to keep.
-        :return: the :class:`VersionedState` as it is now, ``state`` itself or what
-            another process has written; None when the job is gone.
+        :param partials: :class:`~goldcrestmoor.job.job.Partial` values to store.
+        :return: the current :class:`VersionedState`, either ``state`` or what
+            another process has written; None when the job was removed.
         """
         checks = [Check(STATE_TABLE, job_id, stored.version)]
         writes = [Write(STATE_TABLE, job_id, msgspec.json.encode(state))]
@@ -216,16 +220,16 @@
                 answer = await self._store.transact(checks, writes)
                 break
             except ServiceError as e:
-                log.info("The state of job %s is not written yet: %s", job_id, e)
+                log.info("Writing the state of job %s failed, retrying: %s", job_id, e)
                 await self._clock.sleep_ms(backoff.next_ms())
         return _state_after_write(job_id, state, answer)
 
     async def results(self, job_id, after, max_bytes):
-        """Return the listed results from a position on.
+        """Return listed results, starting at a position.
 
         :param job_id: the job.
-        :param after: the first position that is wanted.
-        :param max_bytes: how much text to return, but at least one result.
+        :param after: the position of the first result to return.
+        :param max_bytes: the size limit, though at least one result is returned.
         :return: a list of :class:`~goldcrestmoor.job.job.Result`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
@@ -247,7 +251,7 @@
         """Return the ids of the items whose results are listed.
 
         :param job_id: the job.
-        :param listed: how many there are.
+        :param listed: the number of listed results.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
         """
         ids = []
@@ -260,7 +264,7 @@
         return set(ids)
 
     async def partials(self, job_id):
-        """Return what is kept of a job's unfinished items, by their positions.
+        """Return the stored partial outputs of a job's items, by position.
 
         :param job_id: the job.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE``.
@@ -273,7 +277,7 @@
         return partials_by_position
 
     async def remove(self, job_id, stored):
-        """Delete a job that nobody may ask for any more.
+        """Delete a job whose retention has expired.
 
         :param job_id: the job.
         :param stored: its :class:`VersionedState`.
@@ -293,9 +297,9 @@
 
 
 class WriteBudget:
-    """How much one transaction still holds.
+    """The remaining capacity of one transaction.
 
-    :ivar has_capacity: whether everything has fitted so far.
+    :ivar has_capacity: whether everything reserved so far fits.
     """
 
     __slots__ = ("has_capacity", "_writes", "_bytes")
@@ -306,9 +310,9 @@
         self._bytes = 0
 
     def reserve(self, length):
-        """Tell whether a text still fits, the first one always.
+        """Reserve capacity for an output; return whether it fits (the first always).
 
-        :param length: its length, in characters.
+        :param length: the length of the output, in characters.
         """
         length += ENTRY_OVERHEAD_BYTES
         writes = 1 + length // MAX_CHUNK_BYTES
@@ -324,7 +328,7 @@
 
 
 def _state_after_write(job_id, state, answer):
-    """Return the state that a job has after a write, ours or another's, or None."""
+    """Return a job's state after a write, by this process or another, or None."""
     match answer:
         case Committed(version_by_key):
             return VersionedState(state, version_by_key[f"{STATE_TABLE}/{job_id}"])
@@ -355,7 +359,7 @@
 
 
 def _chunk_writes(table, name, data):
-    """Yield the writes that keep bytes in as many rows as they need."""
+    """Yield the writes that store data in as many rows as it needs."""
     for number, start in enumerate(range(0, len(data), MAX_CHUNK_BYTES)):
         chunk = data[start : start + MAX_CHUNK_BYTES]
         marker = LAST_CHUNK if start + MAX_CHUNK_BYTES >= len(data) else MORE_CHUNKS
@@ -363,7 +367,7 @@
 
 
 def _join_chunks(rows):
-    """Yield the bytes that rows keep, in their order; a cut end is left out."""
+    """Yield the data stored in rows, in order; an incomplete last entry is skipped."""
     chunks = []
     for row in rows:
         chunks.append(row.value[1:])
--- a/goldcrestmoor/job/job_supervisor.py
+++ b/goldcrestmoor/job/job_supervisor.py
@@ -1,4 +1,4 @@
-"""All batch jobs that are kept, and those of them that this process runs."""
+"""Tracks all stored batch jobs and runs those that this process is responsible for."""
 
 import asyncio
 import contextlib
@@ -16,16 +16,16 @@
 
 log = logging.getLogger("goldcrestmoor.jobs")
 
-# A dead runner's jobs are taken up by another after this and the lease's margin.
+# Another host takes over a failed runner's jobs after this and the lease margin.
 RUNNER_LEASE_MS = 1500
-# So long after others have heard the store and this host has not, its jobs have been
-# taken up elsewhere: the lease, its margin and a claim.
+# If only this host has not reached the store for this long, other hosts have taken over
+# its jobs: the lease, its margin and a claim.
 CUT_OFF_TIMEOUT_MS = 3000
-# An outage of the store lasts seconds; its end is noticed within a quarter of one.
+# Store outages last seconds; the end of one is noticed within a quarter of a second.
 RETRY_MS = 250
-# Leases lapse without an event that wakes the board.
+# Leases expire without an event that wakes the supervisor.
 TICK_MS = 200
-# How often old jobs are looked for, and how much longer than promised they stay.
+# How often expired jobs are looked for, and how much longer than configured they stay.
 CLEANUP_INTERVAL_MS = 5000
 
 
@@ -38,21 +38,21 @@
 
 
 class JobSupervisor:
-    """Hear of every job, answer for its state, and run those of this host's models.
+    """Tracks the state of every job and runs those of this host's models.
 
-    One host runs all jobs of a model, so that its connections to the engines serve
-    one step after another. Which one is a lease; that no job is run by two rests on
-    the job's own row alone.
+    One host runs all jobs of a model, so that successive steps reuse its connections to
+    the engines. A lease selects that host, but only the conditional writes of the job's
+    row guarantee that no two hosts run a job.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
     :param duties: the :class:`~goldcrestmoor.process.duties.Duties`.
     :param scheduler: the :class:`~goldcrestmoor.job.scheduler.Scheduler`.
-    :param routes: gives the ``RouteTable`` in force.
-    :param process_id: this process, by a name that no other has.
+    :param routes: returns the ``RouteTable`` in effect.
+    :param process_id: the unique name of this process.
     :param zone: this host's availability zone.
-    :param kept_ms: how long a job is kept after it was submitted, in milliseconds.
-    :param is_cut_off: tells whether others hear the store and this host does not.
+    :param kept_ms: how long a job is retained after submission, in milliseconds.
+    :param is_cut_off: returns whether only this host cannot reach the store.
     """
 
     __slots__ = (
@@ -111,7 +111,7 @@
         self._cut_off_since_ms = None
 
     def apply(self, changes):
-        """Take in what the feed of the jobs' states says.
+        """Apply changes from the change feed of job states.
 
         :param changes: a list of :class:`~goldcrestmoor.adapters.table.Change`.
         """
@@ -122,19 +122,19 @@
             try:
                 stored = VersionedState(decode_state(change.value), change.version)
             except ServiceError as e:
-                log.warning("Job %s is passed over: %s", change.key, e)
+                log.warning("Job %s skipped: %s", change.key, e)
                 continue
             self.update_state(change.key, stored)
 
     def runs_model(self, model):
-        """Tell whether this host runs a model's jobs now.
+        """Return whether this host currently runs a model's jobs.
 
         :param model: the model.
         """
         return not self._is_leaving and self._duties.holds(runner_duty(model))
 
     def update_state(self, job_id, stored):
-        """Take in a job's state, from the feed or from an own write.
+        """Record a job's state, from the feed or from a write of this process.
 
         :param job_id: the job.
         :param stored: the :class:`~goldcrestmoor.job.job_store.VersionedState`.
@@ -149,15 +149,15 @@
         self.wake()
 
     def wake(self):
-        """Look again at which jobs and duties are to be taken up."""
+        """Check again which jobs and duties to claim."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     @contextlib.contextmanager
     def caching(self, job):
-        """Have a job at hand while it is being accepted, to run it without a read.
+        """Cache a job while it is being stored, so that it can run without a read.
 
-        The feed may tell of the job before the write that accepts it is answered.
+        The feed may report the job before the write that stores it gets a response.
 
         :param job: the :class:`~goldcrestmoor.job.job.Job`.
         """
@@ -169,7 +169,7 @@
             raise
 
     async def wait_for_listed(self, job_id, after, timeout_ms):
-        """Wait until a job has more results listed than a given number.
+        """Wait until more than a given number of a job's results are listed.
 
         :param job_id: the job.
         :param after: the number.
@@ -187,7 +187,7 @@
         return stored is None or stored.state.is_ended or stored.state.listed > after
 
     async def run(self):
-        """Take up jobs for good."""
+        """Claim and run jobs until cancelled."""
         while True:
             for job_id, stored in list(self.state_by_job.items()):
                 if self._is_open(stored.state) and self._is_free(job_id):
@@ -204,12 +204,12 @@
                 pass
 
     async def hand_over(self, timeout_ms):
-        """Take up no more jobs, and leave those that are run here to the next runner.
+        """Claim no more jobs and hand the running ones over to the next runner.
 
-        An item goes on there from its last event within a fraction of a second; the
-        end of the longest would take many seconds.
+        An item continues there from its last event within a fraction of a second;
+        waiting for the longest item to finish would take many seconds.
 
-        :param timeout_ms: how long keeping their text may take.
+        :param timeout_ms: the time limit for storing their output, in milliseconds.
         """
         self._is_leaving = True
         handed_over = [run.hand_over() for run in self._runs_by_job.values()]
@@ -217,17 +217,18 @@
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
                 await asyncio.gather(*handed_over)
         except TimeoutError:
-            log.warning("The text of running items could not be kept in time.")
+            log.warning("Storing the output of running items timed out.")
 
     async def close(self):
-        """Stop every job."""
+        """Cancel all running jobs."""
         await self._tasks.close()
 
     def _reclaim_duties(self):
-        """Take back the duties of jobs that are run here, after an outage.
+        """Reclaim the duties of jobs that are run here, after a store outage.
 
-        The jobs go on meanwhile, as no other host could take them up; with the duty
-        gone others would, and read and connect to all anew.
+        The jobs continue during the outage, as no other host can claim them either.
+        If the duty stayed unclaimed, another host would claim it, read the jobs and
+        reconnect to all engines.
         """
         if self._is_leaving or self._cut_off_since_ms is not None:
             return
@@ -242,13 +243,13 @@
         try:
             await self._duties.claim(runner_duty(model), RUNNER_LEASE_MS)
         except ServiceError as e:
-            log.info("The duty to run jobs of %s is not back yet: %s", model, e)
+            log.info("Reclaiming the duty to run jobs of %s failed: %s", model, e)
             await self._clock.sleep_ms(RETRY_MS)
         finally:
             self._reclaiming.discard(model)
 
     def _stop_if_cut_off(self):
-        """Stop jobs that another host has taken up while this one was cut off."""
+        """Stop jobs that another host has taken over while this one was partitioned."""
         now_ms = self._clock.now_ms()
         if not self._is_cut_off():
             self._cut_off_since_ms = None
@@ -257,11 +258,13 @@
         elif now_ms - self._cut_off_since_ms > CUT_OFF_TIMEOUT_MS:
             for job_id, run in self._runs_by_job.items():
                 if not run.is_over:
-                    log.info("Job %s is left to a host that hears the store.", job_id)
+                    log.info(
+                        "Job %s stopped: store unreachable from this host.", job_id
+                    )
                     run.stop()
 
     def _start_cleanup(self):
-        """Remove jobs that nobody may ask for any more, one host for each model."""
+        """Remove expired jobs; per model, only on the host that runs its jobs."""
         now_ms = self._clock.now_ms()
         if now_ms - self._last_cleanup_ms < CLEANUP_INTERVAL_MS:
             return
@@ -269,7 +272,7 @@
         try:
             store_ms = self._store.now_ms()
         except ServiceError:
-            # Nothing is kept or removed before the store was first heard.
+            # No job is stored or removed before the store's first response.
             return
         for job_id, stored in list(self.state_by_job.items()):
             age_ms = store_ms - stored.state.submitted_ms
@@ -283,9 +286,9 @@
         try:
             await self._store.remove(job_id, stored)
         except ServiceError as e:
-            log.info("Job %s is not removed yet: %s", job_id, e)
+            log.info("Removing job %s failed: %s", job_id, e)
             return
-        log.info("Job %s is removed.", job_id)
+        log.info("Job %s removed.", job_id)
         self._forget(job_id)
 
     def _is_open(self, state):
@@ -311,7 +314,7 @@
             if run is not None:
                 await self._run(run)
         except ServiceError as e:
-            log.info("Job %s is not taken up yet: %s", job_id, e)
+            log.info("Starting job %s failed: %s", job_id, e)
             await self._clock.sleep_ms(RETRY_MS)
         finally:
             self._starting.discard(job_id)
@@ -335,13 +338,13 @@
         return await self._duties.claim(name, RUNNER_LEASE_MS)
 
     async def _create_run(self, job_id, stored):
-        """Return the run of a job whose runner this process becomes, or None."""
+        """Make this process a job's runner; return the run, or None if it cannot be."""
         job = self._job_by_id.pop(job_id, None)
         if job is None:
             job = await self._store.load(job_id, stored.state)
         listed_ids, partials = set(), {}
         if stored.state.runner:
-            # What an earlier runner has kept is read once it can write no more.
+            # The output of an earlier runner is read after it can no longer write.
             stored = await self._replace_runner(job_id, stored)
             if stored is None:
                 return None
@@ -350,10 +353,10 @@
         table = self._routes()
         route = table.match(job.host, job.path) if table else None
         if route is None or route.job is None:
-            log.warning("Job %s has no route any more.", job_id)
+            log.warning("Job %s no longer has a route; not started.", job_id)
             return None
         log.info(
-            "Job %s of %s is run here: %d items, %d listed, step %d.",
+            "Job %s of %s started here: %d items, %d listed, step %d.",
             job_id,
             job.model or "no model",
             stored.state.total,
--- a/goldcrestmoor/job/scheduler.py
+++ b/goldcrestmoor/job/scheduler.py
@@ -1,4 +1,4 @@
-"""Starts the items of all jobs that this process runs, as engines have free slots."""
+"""Starts the items of all jobs that this process runs, as engines free slots."""
 
 import asyncio
 import functools
@@ -21,18 +21,17 @@
 
 log = logging.getLogger("goldcrestmoor.scheduler")
 
-# Blocks of engines end by themselves, without an event that wakes the loop.
+# The backoff of an engine expires without an event that wakes the loop.
 TICK_MS = 100
 
 
 class Scheduler:
-    """Gives waiting items to engines.
+    """Assigns waiting items to engines.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param pool: the :class:`~goldcrestmoor.job.engine_pool.EnginePool`.
     :param executor: the :class:`~goldcrestmoor.job.item_run.ItemExecutor`.
-    :param routes: gives the ``RouteTable`` in
-        force.
+    :param routes: returns the ``RouteTable`` in effect.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
 
@@ -60,7 +59,7 @@
         self._tasks = TaskGroup()
 
     def add(self, job_run):
-        """Start a job's items from now on.
+        """Add a job, whose items are then started.
 
         :param job_run: the :class:`~goldcrestmoor.job.job_run.JobRun`.
         """
@@ -81,11 +80,11 @@
             del self._runs_by_job[job_run.job.id]
 
     def wake(self):
-        """Look again for engines with free slots."""
+        """Check again for engines with free slots."""
         self._wakeup.set()
 
     def demand(self, model):
-        """Return what waits for a model's engines.
+        """Return the demand for a model's engines.
 
         :param model: the model.
         :return: a :class:`~goldcrestmoor.version.weights.load_plan.Demand`.
@@ -107,7 +106,7 @@
         ]
 
     async def run(self):
-        """Start items for good."""
+        """Start items until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(TICK_MS / 1000):
@@ -119,7 +118,7 @@
             self._move_stragglers()
 
     def _register_waiting_metrics(self, model):
-        """Have the metrics tell of a model's waiting items when they are read."""
+        """Register gauges that count a model's waiting items when metrics are read."""
         self._metrics.items_waiting.labels(model).set_function(
             lambda: self.demand(model).waiting
         )
@@ -131,7 +130,7 @@
         )
 
     async def close(self):
-        """Stop every item."""
+        """Cancel all running items."""
         await self._tasks.close()
 
     def _dispatch(self):
@@ -147,11 +146,11 @@
                     break
 
     def _assign_engine(self, job_run, run, table, loads_by_service):
-        """Start an item; tell whether it is worth trying the ones behind it."""
+        """Start an item; return whether the items after it may find an engine too."""
         job = job_run.job
         route = table.match(job.host, run.item.path)
         if route is None or route.job is None:
-            log.warning("Item %s has no route any more and is given up.", run.item.id)
+            log.warning("Item %s no longer has a route and is abandoned.", run.item.id)
             job_run.waiting.remove(run)
             job_run.finish(run, is_completed=False)
             return True
@@ -172,7 +171,7 @@
         self._pool.begin(engine)
         job_run.start(run, name)
         run.task = self._tasks.start(self._attempt(job_run, run, engine, route))
-        # A task that is cancelled before its first turn runs none of its own code.
+        # A task that is cancelled before it first runs executes none of its own code.
         run.task.add_done_callback(
             functools.partial(self._on_attempt_done, job_run, run, engine, route)
         )
@@ -196,12 +195,12 @@
         return await self._executor.attempt(run, engine, terms, on_events)
 
     def _on_attempt_done(self, job_run, run, engine, route, task):
-        """Settle a try, however it ended."""
+        """Clean up after an attempt and handle its outcome."""
         self._pool.end(engine)
         run.task = None
         self.wake()
         if run.item.id not in job_run.running_by_id:
-            # The job is over, or left to another runner.
+            # The job is over, or was handed over to another runner.
             return
         if not task.cancelled():
             failure = task.exception()
@@ -211,7 +210,7 @@
             self._handle_outcome(job_run, run, engine, route, Moved())
 
     def _move_stragglers(self):
-        """Take items off engines that are much slower than the others."""
+        """Move items away from engines that are much slower than the others."""
         table = self._routes()
         if table is None:
             return
@@ -239,7 +238,7 @@
             if run.is_moving:
                 continue
             log.info(
-                "Item %s leaves slow engine %s after %d events.",
+                "Item %s moves away from slow engine %s after %d events.",
                 item_id,
                 run.engine,
                 len(run.events),
@@ -254,7 +253,9 @@
                 job_run.finish(run, is_completed=True)
                 return
             case Impossible():
-                log.info("Item %s can never be done, says its engine.", run.item.id)
+                log.info(
+                    "Item %s can never be done, as reported by its engine.", run.item.id
+                )
                 job_run.finish(run, is_completed=False)
                 return
             case Failed():
--- a/goldcrestmoor/job/stragglers.py
+++ b/goldcrestmoor/job/stragglers.py
@@ -1,20 +1,21 @@
-"""Which running items are moved to another engine.
+"""Selection of running items to move to another engine.
 
-The load this answers: one engine turns several times slower than the rest while it
-holds a dozen streams of a step. A stream goes on elsewhere from the events that it
-has, for the price of reading its text again, so it is moved when it will be ready
-much sooner there; short rests stay.
+Workload: one engine becomes several times slower than the rest while it runs a dozen
+streams of a step. A stream can continue elsewhere from its events so far, at the cost
+of processing its output again, so it is moved only if it will finish much sooner there;
+streams with little left to run stay.
 """
 
 import statistics
 
 import msgspec
 
-# A slower pace than this many times the usual one is no chance.
+# An engine slower than the median by more than this factor is not slow by chance.
 SLOW_FACTOR = 2.0
-# A move must save at least this; reading the text again and a new try cost some of it.
+# A move must save at least this, to outweigh the new attempt and reprocessing.
 MIN_GAIN_MS = 400
-# Nothing is known of an item's end, so that it is taken to be half way, at least.
+# An item's remaining length is unknown, so it is estimated as the events it has, but
+# at least this.
 MIN_EVENTS_LEFT = 6
 
 
@@ -23,7 +24,7 @@
 
     :param id: the item.
     :param engine: the engine that runs it.
-    :param events: how many events it has.
+    :param events: the number of events it has.
     """
 
     id: str
@@ -32,11 +33,11 @@
 
 
 def choose_moves(running, ms_per_event_by_engine, free_by_engine):
-    """Yield the ids of the items to move, those with most to gain first.
+    """Yield the ids of the items to move, those that save most time first.
 
     :param running: a list of :class:`RunningItem`.
     :param ms_per_event_by_engine: time per event, in milliseconds, by engine name.
-    :param free_by_engine: how many free slots the engines have that take such items.
+    :param free_by_engine: the free slots of each engine that may run the items.
     """
     if len(ms_per_event_by_engine) < 2:
         return
