--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -146,11 +146,11 @@
         self.running_by_id.pop(run.item.id, None)
         if run.started_ms is not None:
             log.info(
-                "Item %s of job %s %s: waited %d ms, ran %d ms in %d attempts, last at "
-                "%s; %d events, %d tokens expected.",
+                "Item %s of job %s %s: waited %d ms, then %d ms in %d attempts, last "
+                "at %s; %d events, %d tokens expected.",
                 run.item.id,
                 self.job.id,
-                "completed" if is_completed else "abandoned",
+                "done" if is_completed else "abandoned",
                 run.started_ms - self._started_ms,
                 self._clock.now_ms() - run.started_ms,
                 run.attempts,
--- a/test/test_engine_pool.py
+++ b/test/test_engine_pool.py
@@ -1,4 +1,4 @@
-"""What a host has met at its engines, over a long time."""
+"""A host's records of its engines, over a long time."""
 
 import unittest
 from types import SimpleNamespace
@@ -19,7 +19,7 @@
         self.pool = EnginePool(clock=ManualClock(), directory=self.directory)
 
     def test_engines_that_are_gone_are_forgotten(self):
-        """Servers are replaced a few dozen times a day, under new names."""
+        """Engines are replaced a few dozen times a day, under new names."""
         long_running = upstream("engine-0", 1)
         self.directory.upstream_by_name = {"engine-0": long_running}
         self.pool.begin(long_running)
@@ -29,7 +29,7 @@
             self.pool.begin(new)
             self.pool.end(new)
         known = {name for name, _ in self.pool._state_by_key}
-        # The stream that is still under way is counted to its end.
+        # The stream that is still running is counted until its end.
         self.assertEqual(known, {"engine-0", "new-99"})
         self.pool.end(long_running)
         self.assertEqual(self.pool._state(long_running).in_flight, 0)
--- a/test/test_job_run.py
+++ b/test/test_job_run.py
@@ -1,4 +1,4 @@
-"""One job's run and the scheduler, against fakes of the store and the engines."""
+"""Running one job with the scheduler, with a fake store and fake engines."""
 
 import asyncio
 import unittest
@@ -44,7 +44,7 @@
 
 
 class FakeStore:
-    """Keeps one job's state and takes whatever follows it."""
+    """Stores one job's state; rejects writes based on an older version."""
 
     def __init__(self, stored):
         self.stored = stored
@@ -97,7 +97,7 @@
 
 
 def make_run(count, partials=None, runner="me"):
-    """Return a run of some items in the process ``me``, with its store."""
+    """Return a run of some items in the process ``me``, with its fake store."""
     items = tuple(Item(f"i{n}", "/x", {}, b"", group="g") for n in range(count))
     stored = VersionedState(JobState("h", "/x", MODEL, count, 0, runner=runner), 1)
     store = FakeStore(stored)
@@ -143,7 +143,7 @@
             await listing
 
     async def test_items_start_while_the_store_is_told_who_runs_them(self):
-        """A store that is slow takes a second for it."""
+        """A slow store takes a second to record the runner."""
         scheduler = self.make_scheduler()
         run, store = make_run(4, runner="")
         store.answers.clear()
@@ -176,7 +176,7 @@
         self.assertEqual(store.results, [])
 
     async def test_hearing_of_its_own_first_write_stops_no_run(self):
-        """The feed tells of it before the write is answered."""
+        """The feed reports the write before its response arrives."""
         run, store = make_run(4, runner="")
         state = msgspec.structs.replace(store.stored.state, runner="me")
         run.apply_state(VersionedState(state, 2))
@@ -190,7 +190,7 @@
         self.addCleanup(running.cancel)
         await asyncio.sleep(0.05)
         self.assertEqual(len(run.running_by_id), 6)
-        # One engine has turned slow, so that its items are to be moved.
+        # One engine becomes slow, so that its items would be moved.
         for name, pace in (("a", 40), ("b", 400)):
             self.pool.record_events(self.pool.upstream(name), pace, 1)
         run.stop()
@@ -203,7 +203,7 @@
         run, _ = make_run(6)
         scheduler.add(run)
         scheduler._dispatch()
-        # Both happen in the turn of the loop in which the tries were started.
+        # Both happen in the event loop iteration that started the attempts.
         moved = next(iter(run.running_by_id.values()))
         moved.is_moving = True
         moved.task.cancel()
@@ -260,7 +260,7 @@
         self.addCleanup(running.cancel)
         listing = asyncio.create_task(run.list_results())
         await _common.eventually(lambda: len(self.executor.running) == 3)
-        # Far fewer events than are kept while the job is run here.
+        # Far fewer events than are saved while the job runs here.
         for number in range(3):
             long.add(Event(str(number), f"e{number}", None, b""), 1)
         self.executor.running[short.item.id].set_result(None)
--- a/test/test_job_supervisor.py
+++ b/test/test_job_supervisor.py
@@ -1,4 +1,4 @@
-"""Which host takes a job up, and when, against fakes of the store and the duties."""
+"""Which host starts a job, and when, with a fake store and fake duties."""
 
 import asyncio
 import unittest
@@ -15,12 +15,12 @@
 from test.test_job_run import make_run
 
 JOB = Job("j", "h", "/", ())
-# Well under the delay of any host that has not accepted the job.
+# Well below the delay of any host that did not accept the job.
 AT_ONCE_MS = SAME_ZONE_DELAY_MS // 2
 
 
 class FakeDuties:
-    """Free until somebody claims them; notes when that was."""
+    """Claimable until the first claim; records the times of claims."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -42,7 +42,7 @@
 
 
 class FakeStore:
-    """Accepts a job; the board's feed tells of it before the write is answered."""
+    """Accepts a job; the feed reports it before the write gets a response."""
 
     def __init__(self, supervisor):
         self._supervisor = supervisor
@@ -93,12 +93,12 @@
         await asyncio.sleep(0)
 
     async def claim_ms(self, seen_ms):
-        """Return how long after a moment the duty was claimed."""
+        """Return the time from a given moment to the claim of the duty."""
         await _common.eventually(lambda: self.duties.claims_ms)
         return self.duties.claims_ms[0] - seen_ms
 
-    def hear(self, zone):
-        """Take in that a host of a zone has accepted the job."""
+    def apply_accepted(self, zone):
+        """Apply the update that a host of a zone accepted the job."""
         state = JobState(JOB.host, JOB.path, JOB.model, 1, 0, zone=zone)
         self.supervisor.update_state(JOB.id, VersionedState(state, 1))
 
@@ -109,20 +109,20 @@
 
     async def test_a_host_beside_the_accepting_one_leaves_it_the_job(self):
         seen_ms = self.clock.now_ms()
-        self.hear("zone-a")
+        self.apply_accepted("zone-a")
         waited_ms = await self.claim_ms(seen_ms)
         self.assertGreaterEqual(waited_ms, SAME_ZONE_DELAY_MS)
         self.assertLess(waited_ms, OTHER_ZONE_DELAY_MS)
 
     async def test_a_host_of_another_zone_leaves_the_job_to_its_zone(self):
         seen_ms = self.clock.now_ms()
-        self.hear("zone-b")
+        self.apply_accepted("zone-b")
         self.assertGreaterEqual(await self.claim_ms(seen_ms), OTHER_ZONE_DELAY_MS)
 
     async def test_a_runner_that_was_restarted_goes_on_at_once(self):
         self.duties.was_held = True
         seen_ms = self.clock.now_ms()
-        self.hear("zone-b")
+        self.apply_accepted("zone-b")
         self.assertLess(await self.claim_ms(seen_ms), AT_ONCE_MS)
 
     async def test_a_host_that_leaves_does_not_wait_for_long_items(self):
@@ -142,5 +142,5 @@
         with self.assertRaises(ServiceError):
             await self.job_api.submit(JOB)
         seen_ms = self.clock.now_ms()
-        self.hear("zone-a")
+        self.apply_accepted("zone-a")
         self.assertGreaterEqual(await self.claim_ms(seen_ms), SAME_ZONE_DELAY_MS)
