--- a/goldcrestmoor/version/weights/engine_versions.py
+++ b/goldcrestmoor/version/weights/engine_versions.py
@@ -4,7 +4,7 @@
 
 from goldcrestmoor.version.weights.weight_messages import EngineVersions
 
-UNKNOWN = -1
+UNKNOWN_VERSION = -1
 
 
 class EngineVersionTable:
@@ -16,12 +16,12 @@
         :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
     """
 
-    __slots__ = ("_broadcast", "_configuration", "_known_by_model", "_sequence")
+    __slots__ = ("_broadcast", "_configuration", "_message_by_model", "_sequence")
 
     def __init__(self, *, links, broadcast, configuration):
         self._broadcast = broadcast
         self._configuration = configuration
-        self._known_by_model = {}
+        self._message_by_model = {}
         self._sequence = 0
         links.register(EngineVersions, self._on_versions)
 
@@ -31,11 +31,11 @@
         :param upstream: the ``Upstream``.
         """
         pool = self._configuration().pools_by_name.get(upstream.pool)
-        known = self._known_by_model.get(pool.model) if pool else None
+        known = self._message_by_model.get(pool.model) if pool else None
         if known is None:
             return None
         version = known.exceptions.get(upstream.name, known.version)
-        return None if version == UNKNOWN else version
+        return None if version == UNKNOWN_VERSION else version
 
     def broadcast(self, model, fencing, versions_by_upstream):
         """Keep what the engines of a model run, and tell the other hosts.
@@ -45,30 +45,30 @@
         :param versions_by_upstream: versions by upstream name, None if unknown.
         """
         # Almost all engines run the same version, so only the others are named.
-        filled = {
-            name: UNKNOWN if version is None else version
+        version_by_name = {
+            name: UNKNOWN_VERSION if version is None else version
             for name, version in versions_by_upstream.items()
         }
-        counts = collections.Counter(filled.values())
-        version = max(counts, key=counts.get, default=UNKNOWN)
-        exceptions = {name: v for name, v in filled.items() if v != version}
+        counts = collections.Counter(version_by_name.values())
+        version = max(counts, key=counts.get, default=UNKNOWN_VERSION)
+        exceptions = {name: v for name, v in version_by_name.items() if v != version}
         self._sequence += 1
         message = EngineVersions(model, fencing, self._sequence, version, exceptions)
-        self._take(message)
+        self._apply(message)
         self._broadcast.broadcast(message)
 
     async def _on_versions(self, sender, message):
-        self._take(message)
+        self._apply(message)
         self._broadcast.forward(message, message.targets)
 
-    def _take(self, message):
+    def _apply(self, message):
         pools = self._configuration().pools_by_name.values()
-        known = self._known_by_model.get(message.model)
-        if known is not None and _order(known) > _order(message):
+        known = self._message_by_model.get(message.model)
+        if known is not None and _sort_key(known) > _sort_key(message):
             return
         if known is not None or any(pool.model == message.model for pool in pools):
-            self._known_by_model[message.model] = message
+            self._message_by_model[message.model] = message
 
 
-def _order(message):
+def _sort_key(message):
     return message.fencing, message.sequence
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -21,9 +21,9 @@
 STEP_GRACE_MS = 150
 # An order that was taken shows in the list by then, or is looked at again: a load
 # takes about a second, more when several happen at once, and the list lags.
-SETTLE_MS = 5000
+PENDING_TIMEOUT_MS = 5000
 # A refused engine is asked again after this, so that a busy one is not pressed.
-REFUSED_MS = 600
+REJECTED_RETRY_MS = 600
 
 
 class LoadOrders:
@@ -50,11 +50,11 @@
         "_versions",
         "_routes",
         "_engines",
-        "_log",
+        "_order_log",
         "_metrics",
         "_host_id",
-        "_named_by_model",
-        "_woken",
+        "_target_by_model",
+        "_wakeup",
         "_pending_by_engine",
         "_tasks",
     )
@@ -80,34 +80,34 @@
         self._versions = versions
         self._routes = routes
         self._engines = engines
-        self._log = order_log
+        self._order_log = order_log
         self._metrics = metrics
         self._host_id = host_id
-        self._named_by_model = {}
-        self._woken = asyncio.Event()
+        self._target_by_model = {}
+        self._wakeup = asyncio.Event()
         self._pending_by_engine = {}
         self._tasks = TaskGroup()
 
     def wake(self):
         """Look again at what is to be ordered."""
-        self._woken.set()
+        self._wakeup.set()
 
     async def run(self):
         """Order for good."""
         while True:
             try:
                 async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
-                    await self._woken.wait()
+                    await self._wakeup.wait()
             except TimeoutError:
                 pass
-            self._woken.clear()
-            self._order()
+            self._wakeup.clear()
+            self._order_loads()
 
     async def close(self):
         """Stop giving orders."""
         await self._tasks.close()
 
-    def _order(self):
+    def _order_loads(self):
         table = self._routes()
         if table is None:
             return
@@ -122,28 +122,32 @@
         if version is None or not self._runs_model(model):
             return False
         now_ms = self._clock.now_ms()
-        known = self._named_by_model.get(model)
+        known = self._target_by_model.get(model)
         if known is None or known[0] != version:
-            self._named_by_model[model] = known = (version, now_ms)
+            self._target_by_model[model] = known = (version, now_ms)
         return now_ms - known[1] >= STEP_GRACE_MS
 
     def _order_model(self, table, service, model):
         version = self._versions.version_by_model[model]
-        engines = [self._weights(u) for u in self._directory.usable(service.name)]
+        engines = [
+            self._engine_weights(u) for u in self._directory.usable(service.name)
+        ]
         loads = plan_loads(
             model,
             version,
             engines,
             service.models,
             self._demand(model),
-            self._clock.now_ms() - self._named_by_model[model][1],
+            self._clock.now_ms() - self._target_by_model[model][1],
         )
         for load in loads:
             upstream = self._directory.upstream_by_name[load.engine]
-            self._retry_after(load, SETTLE_MS)
-            self._tasks.start(self._give(upstream, load, _mode(table, service.name)))
+            self._set_pending(load, PENDING_TIMEOUT_MS)
+            self._tasks.start(
+                self._send_order(upstream, load, _load_mode(table, service.name))
+            )
 
-    def _weights(self, upstream):
+    def _engine_weights(self, upstream):
         pending = self._pending_by_engine.get(upstream.name)
         is_loading = False
         if pending is not None:
@@ -156,22 +160,22 @@
             upstream.name, upstream.version_by_model, upstream.slots, is_loading
         )
 
-    async def _give(self, upstream, load, mode):
+    async def _send_order(self, upstream, load, mode):
         try:
             report = await self._engines.report(upstream)
             if report.is_busy:
-                self._retry_after(load, REFUSED_MS)
+                self._set_pending(load, REJECTED_RETRY_MS)
                 return
             if report.version_by_model.get(load.model, 0) >= load.version:
                 # The list will say so too; until then it is not asked again.
                 return
             is_usable = self._directory.is_usable(upstream)
             if not is_usable or not self._runs_model(load.model):
-                self._retry_after(load, 0)
+                self._set_pending(load, 0)
                 return
-            fencing = await self._log.append(upstream.name)
+            fencing = await self._order_log.append(upstream.name)
             if fencing is None:
-                self._retry_after(load, REFUSED_MS)
+                self._set_pending(load, REJECTED_RETRY_MS)
                 return
             answer = await self._engines.load(
                 upstream,
@@ -192,7 +196,7 @@
                 load.model,
                 e,
             )
-            self._retry_after(load, REFUSED_MS * 2)
+            self._set_pending(load, REJECTED_RETRY_MS * 2)
             return
         self._metrics.orders.labels(type(answer).__name__.lower()).inc()
         match answer:
@@ -205,14 +209,14 @@
                 )
             case OrderRefused(reason):
                 log.info("%s refused an order: %s.", upstream.name, reason)
-                self._retry_after(load, REFUSED_MS)
+                self._set_pending(load, REJECTED_RETRY_MS)
 
-    def _retry_after(self, load, delay_ms):
+    def _set_pending(self, load, delay_ms):
         until_ms = self._clock.now_ms() + delay_ms
         self._pending_by_engine[load.engine] = (load, until_ms)
 
 
-def _mode(table, service):
+def _load_mode(table, service):
     """Return what becomes of the runs: they may not mix versions on some routes."""
     for routes in table.routes_by_host.values():
         for route in routes:
--- a/goldcrestmoor/version/weights/load_plan.py
+++ b/goldcrestmoor/version/weights/load_plan.py
@@ -18,18 +18,18 @@
 from goldcrestmoor.util import rendezvous_order
 
 # More loads at the same time than this share of the engines slow one another down.
-LOADING_SHARE = 0.4
+MAX_LOADING_SHARE = 0.4
 # Of a model's own engines, so that a step that comes meanwhile finds some.
-PART_LOADING_SHARE = 0.5
+MAX_OWN_LOADING_SHARE = 0.5
 # A model shares engines rather than have fewer than this, so that one can load or
 # crash while another serves.
-MIN_PART = 2
+MIN_ENGINES_PER_MODEL = 2
 # A trainer that is late asks for two steps at once.
-STEPS_AT_ONCE = 2
+CONCURRENT_STEPS = 2
 # The engines that no step has use for come to a version that is the newest for so long.
 # Of the 6 s in which weights that come every few minutes are wanted everywhere, a load
 # takes one.
-REST_AFTER_MS = 5000
+FULL_ROLLOUT_AFTER_MS = 5000
 
 
 class EngineWeights(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
     version: int
 
 
-def plan_loads(model, version, engines, models, demand, named_age_ms=0):
+def plan_loads(model, version, engines, models, demand, target_age_ms=0):
     """Yield the orders to give now for one model, what lags most first.
 
     :param model: the model.
@@ -83,49 +83,51 @@
     :param engines: a list of :class:`EngineWeights`.
     :param models: all models that share the engines.
     :param demand: the :class:`Demand` for the model.
-    :param named_age_ms: how long the version has been the newest.
+    :param target_age_ms: how long the version has been the newest.
     """
-    part = assign(engines, models)[model]
-    if named_age_ms < REST_AFTER_MS:
-        part = _followers(model, part, demand)
+    model_engines = assign_engines(engines, models)[model]
+    if target_age_ms < FULL_ROLLOUT_AFTER_MS:
+        model_engines = _needed_engines(model, model_engines, demand)
     # A step needs the version before the one that it is asked after.
     has_step = demand.newest_step >= version - 1
-    room = min(
-        _room(engines, LOADING_SHARE),
-        _room(part, 1.0 if has_step else PART_LOADING_SHARE),
+    capacity = min(
+        _load_capacity(engines, MAX_LOADING_SHARE),
+        _load_capacity(model_engines, 1.0 if has_step else MAX_OWN_LOADING_SHARE),
     )
-    behind = [
+    outdated = [
         engine
-        for engine in part
-        if _held(engine, model) < version and not engine.is_loading
+        for engine in model_engines
+        if _loaded_version(engine, model) < version and not engine.is_loading
     ]
     if demand.waiting:
-        behind = [e for e in behind if _held(e, model) < demand.min_version]
-    behind.sort(key=lambda engine: _held(engine, model))
-    for engine in behind[: max(0, room)]:
+        outdated = [
+            e for e in outdated if _loaded_version(e, model) < demand.min_version
+        ]
+    outdated.sort(key=lambda engine: _loaded_version(engine, model))
+    for engine in outdated[: max(0, capacity)]:
         yield Load(engine.name, model, version)
 
 
-def _followers(model, part, demand):
+def _needed_engines(model, model_engines, demand):
     """Return those of a model's engines that its steps have use for.
 
     An order has its price for each engine, and a thousand engines would be loaded for
     steps that fill a dozen.
     """
     if not demand.largest_step:
-        return part
-    engine_by_name = {engine.name: engine for engine in part}
-    order = _preferred(model, engine_by_name, engine_by_name)
-    followers, items = [], STEPS_AT_ONCE * demand.largest_step
+        return model_engines
+    engine_by_name = {engine.name: engine for engine in model_engines}
+    order = _by_preference(model, engine_by_name, engine_by_name)
+    needed, items = [], CONCURRENT_STEPS * demand.largest_step
     for name in order:
-        if items <= 0 and len(followers) >= MIN_PART:
+        if items <= 0 and len(needed) >= MIN_ENGINES_PER_MODEL:
             break
-        followers.append(engine_by_name[name])
+        needed.append(engine_by_name[name])
         items -= engine_by_name[name].slots
-    return followers
+    return needed
 
 
-def assign(engines, models):
+def assign_engines(engines, models):
     """Return each model's engines: those that have followed it, up to its part.
 
     :param engines: a list of :class:`EngineWeights`.
@@ -139,43 +141,43 @@
     assigned = {model: [] for model in models}
     quota = max(1, len(engines) // len(models))
     for model in models:
-        order = _preferred(model, free, engine_by_name)
+        order = _by_preference(model, free, engine_by_name)
         for name in order[:quota]:
             assigned[model].append(engine_by_name[name])
             free.discard(name)
     for number, name in enumerate(sorted(free)):
         assigned[models[number % len(models)]].append(engine_by_name[name])
-    _share(assigned, engine_by_name)
+    _share_engines(assigned, engine_by_name)
     return assigned
 
 
-def _share(assigned, engine_by_name):
+def _share_engines(assigned, engine_by_name):
     """Let models with few engines use others' as well, the least used first."""
     uses_by_name = dict.fromkeys(engine_by_name, 0)
-    for part in assigned.values():
-        for engine in part:
+    for model_engines in assigned.values():
+        for engine in model_engines:
             uses_by_name[engine.name] += 1
-    for model, part in assigned.items():
-        own = {engine.name for engine in part}
-        others = _preferred(model, engine_by_name.keys() - own, engine_by_name)
+    for model, model_engines in assigned.items():
+        own = {engine.name for engine in model_engines}
+        others = _by_preference(model, engine_by_name.keys() - own, engine_by_name)
         others.sort(key=uses_by_name.get)
-        for name in others[: max(0, MIN_PART - len(part))]:
-            part.append(engine_by_name[name])
+        for name in others[: max(0, MIN_ENGINES_PER_MODEL - len(model_engines))]:
+            model_engines.append(engine_by_name[name])
             uses_by_name[name] += 1
 
 
-def _preferred(model, names, engine_by_name):
+def _by_preference(model, names, engine_by_name):
     """Return engines with those first that have followed a model."""
     order = rendezvous_order(model, sorted(names))
     # The sort is stable: engines that hold the same version keep their order.
-    order.sort(key=lambda name: -_held(engine_by_name[name], model))
+    order.sort(key=lambda name: -_loaded_version(engine_by_name[name], model))
     return order
 
 
-def _room(engines, share):
+def _load_capacity(engines, share):
     loading = sum(engine.is_loading for engine in engines)
     return max(1, int(len(engines) * share)) - loading
 
 
-def _held(engine, model):
+def _loaded_version(engine, model):
     return engine.version_by_model.get(model, 0)
--- a/goldcrestmoor/version/weights/order_log.py
+++ b/goldcrestmoor/version/weights/order_log.py
@@ -12,11 +12,11 @@
 
 TABLE = "orders"
 # The hosts read the store's clock from its answers, each a round trip late at most.
-CLOCK_SLACK_MS = 500
+CLOCK_MARGIN_MS = 500
 # An order that would leave later than this after the time of its entry is given up.
 MAX_SEND_DELAY_MS = 400
 # An entry waits behind the writes of other hosts for so many answers of a read.
-WRITE_ANSWERS = 8
+WRITE_LATENCY_FACTOR = 8
 
 
 class OrderEntry(msgspec.Struct, frozen=True):
@@ -42,14 +42,14 @@
     :param turn_ms: how long after one host's order another's must not follow.
     """
 
-    __slots__ = ("_clock", "_store", "_host_id", "_turn_ms", "_known_by_engine")
+    __slots__ = ("_clock", "_store", "_host_id", "_turn_ms", "_cached_by_engine")
 
     def __init__(self, *, clock, store, host_id, turn_ms):
         self._clock = clock
         self._store = store
         self._host_id = host_id
         self._turn_ms = turn_ms
-        self._known_by_engine = {}
+        self._cached_by_engine = {}
 
     async def append(self, engine):
         """Write down that an order is about to be given.
@@ -58,15 +58,15 @@
         :return: the order's fencing number, or None when another host has its turn.
         :raises ServiceError: when it may not have been written; give no order.
         """
-        entry, version = await self._last(engine)
+        entry, version = await self._last_entry(engine)
         now_ms = self._store.now_ms()
-        if not may_follow(entry, self._host_id, now_ms, self._turn_ms):
+        if not may_order(entry, self._host_id, now_ms, self._turn_ms):
             return None
         fencing = entry.fencing + 1 if entry else 1
         # A slow store would else have each entry made too late.
-        write_ms = WRITE_ANSWERS * self._store.latency_ms()
+        write_ms = WRITE_LATENCY_FACTOR * self._store.latency_ms()
         new = OrderEntry(self._host_id, fencing, now_ms + write_ms)
-        self._known_by_engine.pop(engine, None)
+        self._cached_by_engine.pop(engine, None)
         sent_ms = self._clock.now_ms()
         answer = await self._store.transact(
             [Check(TABLE, engine, version)],
@@ -74,7 +74,7 @@
         )
         if not isinstance(answer, Committed):
             return None
-        self._known_by_engine[engine] = (
+        self._cached_by_engine[engine] = (
             new,
             answer.version_by_key[f"{TABLE}/{engine}"],
         )
@@ -83,10 +83,10 @@
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, text)
         return fencing
 
-    async def _last(self, engine):
-        known = self._known_by_engine.get(engine)
-        if known is not None:
-            return known
+    async def _last_entry(self, engine):
+        cached = self._cached_by_engine.get(engine)
+        if cached is not None:
+            return cached
         row = await self._store.get(TABLE, engine)
         if row is None:
             return None, 0
@@ -97,7 +97,7 @@
             raise ServiceError(ErrorKind.INTERNAL, text) from e
 
 
-def may_follow(entry, host_id, now_ms, turn_ms):
+def may_order(entry, host_id, now_ms, turn_ms):
     """Tell whether a host may order an engine, given the last order to it.
 
     :param entry: the :class:`OrderEntry`, or None.
@@ -107,4 +107,4 @@
     """
     if entry is None or entry.holder == host_id:
         return True
-    return now_ms - entry.at_ms >= turn_ms + CLOCK_SLACK_MS
+    return now_ms - entry.at_ms >= turn_ms + CLOCK_MARGIN_MS
--- a/goldcrestmoor/version/weights/publish_interval.py
+++ b/goldcrestmoor/version/weights/publish_interval.py
@@ -3,7 +3,7 @@
 import collections
 import statistics
 
-INTERVALS_KEPT = 4
+MAX_INTERVALS = 4
 
 
 class PublishIntervalEstimator:
@@ -17,7 +17,7 @@
     def __init__(self, version):
         self._version = version
         self._changed_ms = None
-        self._intervals_ms = collections.deque(maxlen=INTERVALS_KEPT)
+        self._intervals_ms = collections.deque(maxlen=MAX_INTERVALS)
 
     def record(self, version, now_ms):
         """Take in the trainer's present version.
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -20,7 +20,7 @@
 IDLE_POLL_MS = 15_000
 POLL_JITTER = 0.2
 POLL_BACKOFF_MAX_MS = 10_000
-PUBLISH_TRIES = 5
+PUBLISH_ATTEMPTS = 5
 MAX_MODELS = 1000
 TOKEN_BYTES = 12
 
@@ -60,8 +60,8 @@
         "_versions_by_model",
         "_versions_by_publisher",
         "_callbacks",
-        "_drivers",
-        "_followed",
+        "_fast_poll_count",
+        "_fast_poll_started",
     )
 
     def __init__(self, *, clock, table, links, broadcast, weight_store=None):
@@ -72,8 +72,8 @@
         self._versions_by_model = {}
         self._versions_by_publisher = {}
         self._callbacks = []
-        self._drivers = 0
-        self._followed = asyncio.Event()
+        self._fast_poll_count = 0
+        self._fast_poll_started = asyncio.Event()
         links.register(VersionPublished, self._on_published)
 
     def current(self, model):
@@ -113,24 +113,24 @@
         """
         await self._check_exists(model, version)
         new = VersionRow(version, account, secrets.token_hex(TOKEN_BYTES))
-        unsettled = False
-        for _ in range(PUBLISH_TRIES):
+        is_unknown = False
+        for _ in range(PUBLISH_ATTEMPTS):
             try:
                 if await self._publish_once(model, new):
                     break
             except ServiceError as e:
                 # After one lost answer, the version may have been published.
                 if e.kind is ErrorKind.OUTCOME_UNKNOWN:
-                    unsettled = True
-                elif unsettled and e.kind is ErrorKind.PLATFORM_UNAVAILABLE:
+                    is_unknown = True
+                elif is_unknown and e.kind is ErrorKind.PLATFORM_UNAVAILABLE:
                     raise ServiceError(ErrorKind.OUTCOME_UNKNOWN) from e
                 else:
                     raise
         else:
-            kind = ErrorKind.OUTCOME_UNKNOWN if unsettled else ErrorKind.OVERLOADED
+            kind = ErrorKind.OUTCOME_UNKNOWN if is_unknown else ErrorKind.OVERLOADED
             raise ServiceError(kind, "The version's row would not settle.")
         log.info("Version %d of %s was published by %s.", version, model, account)
-        self._take(model, version, account)
+        self._apply(model, version, account)
         self._broadcast.broadcast(VersionPublished(model, version, account))
 
     @contextlib.asynccontextmanager
@@ -140,13 +140,13 @@
         Only the host that orders engines must learn of each version soon when
         the message about it is lost.
         """
-        self._drivers += 1
+        self._fast_poll_count += 1
         try:
             await self._read()
-            self._followed.set()
+            self._fast_poll_started.set()
             yield
         finally:
-            self._drivers -= 1
+            self._fast_poll_count -= 1
 
     async def run(self):
         """Read the current versions until cancelled."""
@@ -154,29 +154,29 @@
         while True:
             if await self._read():
                 backoff.reset()
-                await self._rest()
+                await self._wait_for_next_poll()
             else:
                 await self._clock.sleep_ms(backoff.next_ms())
 
     async def _read(self):
         try:
             for row in await self._table.scan(TABLE, ""):
-                self._take_row(row)
+                self._apply_row(row)
         except ServiceError as e:
             log.warning("The versions were not read: %s.", e)
             return False
         return True
 
-    async def _rest(self):
-        interval_ms = POLL_MS if self._drivers else IDLE_POLL_MS
+    async def _wait_for_next_poll(self):
+        interval_ms = POLL_MS if self._fast_poll_count else IDLE_POLL_MS
         interval_ms *= random.uniform(1 - POLL_JITTER, 1)
-        self._followed.clear()
-        rest = asyncio.ensure_future(self._clock.sleep_ms(interval_ms))
-        woken = asyncio.ensure_future(self._followed.wait())
+        self._fast_poll_started.clear()
+        sleep = asyncio.ensure_future(self._clock.sleep_ms(interval_ms))
+        woken = asyncio.ensure_future(self._fast_poll_started.wait())
         try:
-            await asyncio.wait((rest, woken), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((sleep, woken), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            rest.cancel()
+            sleep.cancel()
             woken.cancel()
 
     async def _check_exists(self, model, version):
@@ -201,17 +201,17 @@
         return isinstance(await self._table.transact([check], [write]), Committed)
 
     async def _on_published(self, sender, message):
-        self._take(message.model, message.version, message.account)
+        self._apply(message.model, message.version, message.account)
         self._broadcast.forward(message, message.targets)
 
-    def _take_row(self, row):
+    def _apply_row(self, row):
         try:
             found = _decode(row.value)
-            self._take(row.key, found.version, found.published_by)
+            self._apply(row.key, found.version, found.published_by)
         except ServiceError as e:
             log.error("The row of %s was not read: %s", row.key, e)
 
-    def _take(self, model, version, account):
+    def _apply(self, model, version, account):
         if version > self.published_by(account, model):
             published = self._versions_by_publisher
             if (account, model) in published or len(published) < MAX_MODELS:
--- a/goldcrestmoor/version/weights/weight_update_manager.py
+++ b/goldcrestmoor/version/weights/weight_update_manager.py
@@ -13,8 +13,8 @@
 
 LEASE_MS = 6000
 CANDIDATE_HOSTS = 3
-CANDIDACY_MS = 1000
-CANDIDACY_JITTER_MS = 200
+LEASE_ATTEMPT_INTERVAL_MS = 1000
+LEASE_ATTEMPT_JITTER_MS = 200
 STOP_POLL_MS = 50
 
 
@@ -42,8 +42,8 @@
         "_configuration",
         "_versions",
         "_host_id",
-        "_driver_parts",
-        "_drivers_by_model",
+        "_updater_args",
+        "_updaters_by_model",
         "_stopping",
         "_tasks",
     )
@@ -68,7 +68,7 @@
         self._configuration = configuration
         self._versions = versions
         self._host_id = host_id
-        self._driver_parts = {
+        self._updater_args = {
             "clock": clock,
             "configuration": configuration,
             "versions": versions,
@@ -77,7 +77,7 @@
             "metrics": metrics,
             "strategy": strategy or AllAtOnce(),
         }
-        self._drivers_by_model = {}
+        self._updaters_by_model = {}
         self._stopping = False
         self._tasks = TaskGroup()
         versions.on_change(self._wake)
@@ -87,28 +87,28 @@
         try:
             while True:
                 for model in self._models():
-                    await self._stand_for(model)
-                jitter_ms = random.uniform(0, CANDIDACY_JITTER_MS)
-                await self._clock.sleep_ms(CANDIDACY_MS - jitter_ms)
+                    await self._try_acquire_lease(model)
+                jitter_ms = random.uniform(0, LEASE_ATTEMPT_JITTER_MS)
+                await self._clock.sleep_ms(LEASE_ATTEMPT_INTERVAL_MS - jitter_ms)
         finally:
             await self._tasks.close()
 
     async def stop(self):
         """Let the orders that are on their way end, and hand the duties over."""
         self._stopping = True
-        drivers = self._drivers_by_model
+        updaters = self._updaters_by_model
         end = Deadline.after(self._clock, ORDER_TIMEOUT_MS)
-        while drivers and not end.passed():
-            for driver in drivers.values():
-                driver.wake()
+        while updaters and not end.passed():
+            for updater in updaters.values():
+                updater.wake()
             await self._clock.sleep_ms(STOP_POLL_MS)
 
-    def is_driving(self, model):
+    def is_updating(self, model):
         """Tell whether this host orders a model's engines.
 
         :param model: the model.
         """
-        return model in self._drivers_by_model
+        return model in self._updaters_by_model
 
     def _models(self):
         pools = self._configuration().pools_by_name.values()
@@ -121,12 +121,12 @@
         return self._host_id in self._ownership.preferred_hosts(duty, CANDIDATE_HOSTS)
 
     def _wake(self, model):
-        driver = self._drivers_by_model.get(model)
-        if driver is not None:
-            driver.wake()
+        updater = self._updaters_by_model.get(model)
+        if updater is not None:
+            updater.wake()
 
-    async def _stand_for(self, model):
-        if model in self._drivers_by_model or not self._is_candidate(model):
+    async def _try_acquire_lease(self, model):
+        if model in self._updaters_by_model or not self._is_candidate(model):
             return
         try:
             lease = await self._leases.acquire(f"weights/{model}", LEASE_MS)
@@ -134,18 +134,18 @@
             log.warning("The lease on %s was not taken: %s.", model, e)
             return
         if lease is not None:
-            driver = WeightUpdater(model=model, lease=lease, **self._driver_parts)
-            self._drivers_by_model[model] = driver
-            self._tasks.start(self._drive(model, driver), f"drive {model}")
+            updater = WeightUpdater(model=model, lease=lease, **self._updater_args)
+            self._updaters_by_model[model] = updater
+            self._tasks.start(self._run_updater(model, updater), f"drive {model}")
 
-    async def _drive(self, model, driver):
+    async def _run_updater(self, model, updater):
         try:
             async with self._versions.fast_polling():
-                await driver.run(lambda: self._is_candidate(model))
+                await updater.run(lambda: self._is_candidate(model))
         finally:
-            del self._drivers_by_model[model]
-            if driver.is_settled():
-                await self._leases.release(driver.lease)
+            del self._updaters_by_model[model]
+            if updater.is_settled():
+                await self._leases.release(updater.lease)
             else:
                 # An order may still take effect, so the next holder must wait.
-                self._leases.abandon(driver.lease)
+                self._leases.abandon(updater.lease)
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -13,17 +13,17 @@
 
 ORDER_TIMEOUT_MS = 10_000
 STATE_TIMEOUT_MS = 2000
-RECHECK_MS = 500
-READ_BACK_MS = 30_000
-READ_BACK_LAG_MS = 2000
-PUBLISH_MIN_MS = 1000
-PUBLISH_MAX_MS = 30_000
-COALESCE_MS = 20
+CHECK_INTERVAL_MS = 500
+STATE_READ_INTERVAL_MS = 30_000
+STATE_LAG_MS = 2000
+BROADCAST_MIN_INTERVAL_MS = 1000
+BROADCAST_MAX_INTERVAL_MS = 30_000
+COALESCE_DELAY_MS = 20
 RETRY_MIN_MS = 500
 RETRY_MAX_MS = 15_000
 MAX_LOADS = 256
 MAX_READS = 64
-OTHER_MODEL = 0
+OTHER_MODEL_VERSION = 0
 
 
 class _Engine:
@@ -76,13 +76,13 @@
         "_strategy",
         "_started_ms",
         "_engines_by_name",
-        "_reads",
-        "_loads",
-        "_unsettled_until_ms",
-        "_woken",
-        "_refused",
-        "_published",
-        "_published_ms",
+        "_read_count",
+        "_load_count",
+        "_unresolved_until_ms",
+        "_wakeup",
+        "_is_superseded",
+        "_last_broadcast",
+        "_last_broadcast_ms",
         "_tasks",
     )
 
@@ -110,22 +110,24 @@
         self._strategy = strategy
         self._started_ms = clock.now_ms()
         self._engines_by_name = {}
-        self._reads = 0
-        self._loads = 0
-        self._unsettled_until_ms = 0
-        self._woken = asyncio.Event()
-        self._refused = False
-        self._published = None
-        self._published_ms = 0
+        self._read_count = 0
+        self._load_count = 0
+        self._unresolved_until_ms = 0
+        self._wakeup = asyncio.Event()
+        self._is_superseded = False
+        self._last_broadcast = None
+        self._last_broadcast_ms = 0
         self._tasks = TaskGroup()
 
     def wake(self):
         """Look at once whether there is something to order."""
-        self._woken.set()
+        self._wakeup.set()
 
     def is_settled(self):
         """Tell whether no order can still take effect at an engine."""
-        return not self._loads and self._clock.now_ms() >= self._unsettled_until_ms
+        return (
+            not self._load_count and self._clock.now_ms() >= self._unresolved_until_ms
+        )
 
     async def run(self, is_candidate):
         """Order engines while the lease is held.
@@ -133,18 +135,18 @@
         :param is_candidate: tells whether this host should still do it.
         """
         try:
-            while self.lease.holds() and not self._refused and is_candidate():
-                self._woken.clear()
+            while self.lease.holds() and not self._is_superseded and is_candidate():
+                self._wakeup.clear()
                 self._start_due(self._upstreams())
-                self._publish()
-                await self._pause()
+                self._broadcast_versions()
+                await self._wait()
             # Whoever comes next must not meet an order that is on its way.
-            while self._loads:
-                self._woken.clear()
-                await self._pause()
+            while self._load_count:
+                self._wakeup.clear()
+                await self._wait()
         finally:
-            if self._loads:
-                self._note_unsettled()
+            if self._load_count:
+                self._record_unresolved()
             await self._tasks.close()
 
     def _upstreams(self):
@@ -173,37 +175,37 @@
             return self._started_ms
         return self._started_ms + ORDER_TIMEOUT_MS
 
-    async def _pause(self):
-        pause = asyncio.ensure_future(self._clock.sleep_ms(RECHECK_MS))
-        woken = asyncio.ensure_future(self._woken.wait())
+    async def _wait(self):
+        pause = asyncio.ensure_future(self._clock.sleep_ms(CHECK_INTERVAL_MS))
+        woken = asyncio.ensure_future(self._wakeup.wait())
         try:
             await asyncio.wait((pause, woken), return_when=asyncio.FIRST_COMPLETED)
         finally:
             pause.cancel()
             woken.cancel()
         # Many engines answer at about the same time; one look serves them all.
-        await self._clock.sleep_ms(COALESCE_MS)
+        await self._clock.sleep_ms(COALESCE_DELAY_MS)
 
     def _start_due(self, upstreams):
         target = self._versions.current(self.model)
         now_ms = self._clock.now_ms()
-        reads = (u for u in upstreams if self._must_read(u, now_ms))
-        for upstream in itertools.islice(reads, MAX_READS - self._reads):
+        reads = (u for u in upstreams if self._should_read(u, now_ms))
+        for upstream in itertools.islice(reads, MAX_READS - self._read_count):
             self._start(self._read_state(upstream), upstream)
         limit = min(MAX_LOADS, max_loads(len(upstreams), self._strategy))
-        orders = (u for u in upstreams if self._must_order(u, target, now_ms))
-        for upstream in itertools.islice(orders, max(0, limit - self._loads)):
+        orders = (u for u in upstreams if self._should_order(u, target, now_ms))
+        for upstream in itertools.islice(orders, max(0, limit - self._load_count)):
             self._start(self._order(upstream, target), upstream)
 
     def _start(self, coroutine, upstream):
         self._engines_by_name[upstream.name].busy = True
         self._tasks.start(coroutine, f"tend {upstream.name}")
 
-    def _must_read(self, upstream, now_ms):
+    def _should_read(self, upstream, now_ms):
         engine = self._engines_by_name[upstream.name]
         return not engine.busy and engine.read_ms <= now_ms
 
-    def _must_order(self, upstream, target, now_ms):
+    def _should_order(self, upstream, target, now_ms):
         engine = self._engines_by_name[upstream.name]
         if not target or engine.busy or engine.version in (None, target):
             return False
@@ -211,7 +213,7 @@
 
     async def _read_state(self, upstream):
         engine = self._engines_by_name[upstream.name]
-        self._reads += 1
+        self._read_count += 1
         try:
             state = await self._engines.state(upstream, timeout_ms=STATE_TIMEOUT_MS)
         except ServiceError as e:
@@ -219,20 +221,20 @@
             engine.read_ms = self._clock.now_ms() + engine.backoff.next_ms()
             return
         finally:
-            self._reads -= 1
+            self._read_count -= 1
             self._finish(engine)
-        engine.read_ms = self._clock.now_ms() + READ_BACK_MS
-        version = state.version if state.model == self.model else OTHER_MODEL
+        engine.read_ms = self._clock.now_ms() + STATE_READ_INTERVAL_MS
+        version = state.version if state.model == self.model else OTHER_MODEL_VERSION
         if engine.version not in (None, version):
             log.warning("%s runs version %d unasked.", upstream.name, version)
         engine.version = version
 
     async def _order(self, upstream, target):
         engine = self._engines_by_name[upstream.name]
-        self._loads += 1
+        self._load_count += 1
         try:
             # The lease may have lapsed since this task was started.
-            if self.lease.holds() and not self._refused:
+            if self.lease.holds() and not self._is_superseded:
                 async with asyncio.timeout(ORDER_TIMEOUT_MS / MS_PER_SECOND):
                     loaded = await self._engines.order(
                         upstream,
@@ -241,38 +243,38 @@
                         fencing=self.lease.fencing,
                         timeout_ms=ORDER_TIMEOUT_MS,
                     )
-                self._note_answer(upstream, engine, target, loaded)
+                self._on_loaded(upstream, engine, target, loaded)
         except (ServiceError, TimeoutError) as e:
-            self._note_failure(upstream, engine, e)
+            self._on_failure(upstream, engine, e)
         finally:
-            self._loads -= 1
+            self._load_count -= 1
             self._finish(engine)
 
     def _finish(self, engine):
         engine.busy = False
         self.wake()
 
-    def _note_answer(self, upstream, engine, target, loaded):
+    def _on_loaded(self, upstream, engine, target, loaded):
         engine.version = loaded
         now_ms = self._clock.now_ms()
         # What the engine reports lags behind what it answered.
-        engine.read_ms = now_ms + READ_BACK_LAG_MS
+        engine.read_ms = now_ms + STATE_LAG_MS
         if loaded == target:
             engine.backoff.reset()
-            self._count("loaded")
+            self._count_order("loaded")
             return
         log.warning("%s kept version %d of %s.", upstream.name, loaded, self.model)
-        self._count("swap_failed")
+        self._count_order("swap_failed")
         engine.retry_ms = now_ms + engine.backoff.next_ms()
 
-    def _note_failure(self, upstream, engine, error):
+    def _on_failure(self, upstream, engine, error):
         kind = getattr(error, "kind", ErrorKind.UPSTREAM_TIMEOUT)
         log.warning("%s was not ordered: %s.", upstream.name, error)
-        self._count(kind.value)
+        self._count_order(kind.value)
         now_ms = self._clock.now_ms()
         if kind is ErrorKind.VERSION_CONFLICT:
             # Another host has ordered it under a newer lease.
-            self._refused = True
+            self._is_superseded = True
             return
         engine.retry_ms = now_ms + engine.backoff.next_ms()
         if kind is ErrorKind.OVERLOADED:
@@ -282,18 +284,23 @@
         else:
             engine.version = None
             engine.read_ms = now_ms
-            self._note_unsettled()
+            self._record_unresolved()
 
-    def _note_unsettled(self):
-        self._unsettled_until_ms = self._clock.now_ms() + ORDER_TIMEOUT_MS
+    def _record_unresolved(self):
+        self._unresolved_until_ms = self._clock.now_ms() + ORDER_TIMEOUT_MS
 
-    def _count(self, outcome):
+    def _count_order(self, outcome):
         self._metrics.orders.labels(outcome).inc()
 
-    def _publish(self):
+    def _broadcast_versions(self):
         versions = {name: e.version for name, e in self._engines_by_name.items()}
-        age_ms = self._clock.now_ms() - self._published_ms
-        is_due = versions != self._published and age_ms >= PUBLISH_MIN_MS
-        if is_due or age_ms >= PUBLISH_MAX_MS:
-            self._published, self._published_ms = versions, self._clock.now_ms()
+        age_ms = self._clock.now_ms() - self._last_broadcast_ms
+        is_due = (
+            versions != self._last_broadcast and age_ms >= BROADCAST_MIN_INTERVAL_MS
+        )
+        if is_due or age_ms >= BROADCAST_MAX_INTERVAL_MS:
+            self._last_broadcast, self._last_broadcast_ms = (
+                versions,
+                self._clock.now_ms(),
+            )
             self._engine_versions.broadcast(self.model, self.lease.fencing, versions)
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -23,10 +23,10 @@
     Demand,
     EngineWeights,
     Load,
-    assign,
+    assign_engines,
     plan_loads,
 )
-from goldcrestmoor.version.weights.order_log import OrderEntry, may_follow
+from goldcrestmoor.version.weights.order_log import OrderEntry, may_order
 
 
 def engine(name, in_flight=0, **fields):
@@ -228,7 +228,7 @@
     def test_the_first_named_model_does_not_take_the_others_engines(self):
         engines = [weights(n, m0=1, m1=1, m2=1) for n in "abcdef"]
         models = ["m0", "m1", "m2"]
-        self.assertEqual(len(assign(engines, models)["m0"]), 2)
+        self.assertEqual(len(assign_engines(engines, models)["m0"]), 2)
 
     def test_engines_that_can_serve_what_waits_are_left_to_it(self):
         engines = [weights(n, m=1) for n in "ab"]
@@ -265,7 +265,7 @@
         for count in (3, 4, 5):
             names = "abcdef"[:count]
             engines = [weights(n, m0=1, m1=1, m2=1) for n in names]
-            assigned = assign(engines, models)
+            assigned = assign_engines(engines, models)
             parts = [{engine.name for engine in part} for part in assigned.values()]
             self.assertEqual([len(part) for part in parts], [2, 2, 2], count)
             # No engine is left out, and none follows one model more than needed.
@@ -316,7 +316,7 @@
             weights("b", m0=5, m1=1),
             weights("c", m0=1, m1=5),
         ]
-        assigned = assign(engines, ["m0", "m1"])
+        assigned = assign_engines(engines, ["m0", "m1"])
         names = {m: sorted(e.name for e in part) for m, part in assigned.items()}
         self.assertEqual(names["m0"], ["a", "b"])
         # The engine that follows it already, and one that it shares.
@@ -391,10 +391,10 @@
 class OrderLogTest(unittest.TestCase):
     def test_another_host_waits_until_the_last_order_has_had_its_time(self):
         entry = OrderEntry("host-a", 7, 10_000)
-        self.assertTrue(may_follow(entry, "host-a", 10_001, 3000))
-        self.assertFalse(may_follow(entry, "host-b", 13_000, 3000))
-        self.assertTrue(may_follow(entry, "host-b", 13_500, 3000))
-        self.assertTrue(may_follow(None, "host-b", 0, 3000))
+        self.assertTrue(may_order(entry, "host-a", 10_001, 3000))
+        self.assertFalse(may_order(entry, "host-b", 13_000, 3000))
+        self.assertTrue(may_order(entry, "host-b", 13_500, 3000))
+        self.assertTrue(may_order(None, "host-b", 0, 3000))
 
 
 def choice(name, in_flight=0, **fields):
--- a/test/test_order_log.py
+++ b/test/test_order_log.py
@@ -9,7 +9,7 @@
 from goldcrestmoor.version.weights.order_log import (
     OrderEntry,
     OrderLog,
-    may_follow,
+    may_order,
 )
 from test._fleet import ManualClock
 
@@ -60,7 +60,7 @@
         # Another host counts the turn from when the order may have left.
         left_ms = self.clock.now_ms()
         turn_over_ms = left_ms + TURN_MS - 1
-        self.assertFalse(may_follow(entry, "host-b", turn_over_ms, TURN_MS))
+        self.assertFalse(may_order(entry, "host-b", turn_over_ms, TURN_MS))
 
     async def test_an_order_that_comes_too_late_is_not_given(self):
         log = self.make(write_ms=1200, read_ms=5)
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -158,12 +158,12 @@
         await self.wait_until(lambda: self.all_run(1))
         for host in hosts:
             host.versions._broadcast = SimpleNamespace(broadcast=lambda message: None)
-        other = next(h for h in self.hosts_by_id if not self.drives(h))
+        other = next(h for h in self.hosts_by_id if not self.updates(h))
         await self.publish(2, other)
         await self.wait_until(lambda: self.all_run(2), SPREAD_MS)
 
-    def drives(self, host_id):
-        return self.hosts_by_id[host_id].orders.is_driving("lm")
+    def updates(self, host_id):
+        return self.hosts_by_id[host_id].orders.is_updating("lm")
 
     async def test_a_published_version_reaches_every_engine_and_host(self):
         self.add_engines(6)
@@ -178,7 +178,7 @@
                 for upstream in upstreams
             )
         )
-        drivers = [host for host in hosts if host.orders.is_driving("lm")]
+        drivers = [host for host in hosts if host.orders.is_updating("lm")]
         self.assertEqual(len(drivers), 1)
 
     async def test_versions_only_grow_and_repeats_are_harmless(self):
@@ -232,7 +232,7 @@
         """Freeze a driver just before it sends version 1; let another take over."""
         self.add_engines(4, fencing)
         old = self.add_host("host-a")
-        await self.wait_until(lambda: old.orders.is_driving("lm"))
+        await self.wait_until(lambda: old.orders.is_updating("lm"))
         old.engines.gate.clear()
         await self.publish(1)
         await self.clock.advance(200)
@@ -240,7 +240,7 @@
         new = self.add_host("host-b")
         frozen_ms = self.clock.now_ms()
         await self.publish(2, "host-b")
-        await self.wait_until(lambda: new.orders.is_driving("lm"))
+        await self.wait_until(lambda: new.orders.is_updating("lm"))
         await self.wait_until(lambda: self.all_run(2))
         first_ms = min(e.loaded[0][0] for e in self.engines_by_name.values())
         old.clock.thawed.set()
@@ -271,7 +271,7 @@
         new = self.add_host("host-b")
         stopping = asyncio.ensure_future(old.orders.stop())
         await self.publish(2, "host-b")
-        await self.wait_until(lambda: new.orders.is_driving("lm"), LEASE_MS)
+        await self.wait_until(lambda: new.orders.is_updating("lm"), LEASE_MS)
         await self.wait_until(lambda: self.all_run(2), ORDER_TIMEOUT_MS)
         await stopping
 
@@ -286,7 +286,7 @@
         stopped_ms = self.clock.now_ms()
         new = self.add_host("host-b")
         engine.lost_answers = 0
-        await self.wait_until(lambda: new.orders.is_driving("lm"))
+        await self.wait_until(lambda: new.orders.is_updating("lm"))
         await self.wait_until(lambda: self.all_run(1))
         self.assertGreater(engine.loaded[0][0], stopped_ms + ORDER_TIMEOUT_MS)
         await stopping
