--- a/goldcrestmoor/version/weights/__init__.py
+++ b/goldcrestmoor/version/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Weight versions: what is published or named, and the orders that load it."""
+"""Weight versions: published and target versions, and the orders to load them."""
--- a/goldcrestmoor/version/weights/engine_report.py
+++ b/goldcrestmoor/version/weights/engine_report.py
@@ -1,4 +1,4 @@
-"""What engines say of themselves and of the orders that they are given."""
+"""State reports of engines and their responses to load orders."""
 
 import enum
 
@@ -6,23 +6,23 @@
 
 
 class LoadMode(enum.StrEnum):
-    """What becomes of the runs of an engine that changes its weights."""
+    """How an engine treats running requests when it loads new weights."""
 
-    # They finish first.
+    # They finish before the load.
     WAIT = "wait"
     # Their streams are reset.
     TRUNCATE = "truncate"
-    # They go on under the new version.
+    # They continue with the new version.
     RETAIN = "retain"
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An engine's state, somewhat late.
+    """An engine's state, which may be slightly out of date.
 
-    :param version_by_model: the weight version of each model that it holds.
-    :param is_busy: whether it carries out an order.
-    :param accepted: how many orders this incarnation has accepted.
-    :param running: how many requests it runs.
+    :param version_by_model: the loaded weight version of each model.
+    :param is_busy: whether it is carrying out an order.
+    :param accepted: the number of orders that this incarnation has accepted.
+    :param running: the number of running requests.
     """
 
     version_by_model: dict[str, int]
@@ -32,16 +32,16 @@
 
 
 class Ordered(msgspec.Struct, frozen=True):
-    """The engine took the order.
+    """The engine accepted the order.
 
-    :param is_done: whether it held the version already.
+    :param is_done: whether it had already loaded the version.
     """
 
     is_done: bool
 
 
 class OrderRefused(msgspec.Struct, frozen=True):
-    """The engine will not carry the order out.
+    """The engine rejected the order.
 
     :param reason: why, as part of a sentence.
     """
--- a/goldcrestmoor/version/weights/engine_versions.py
+++ b/goldcrestmoor/version/weights/engine_versions.py
@@ -1,4 +1,4 @@
-"""Which weight version each engine runs, as far as this host knows."""
+"""The weight version of each engine, as last reported to this host."""
 
 import collections
 
@@ -8,12 +8,12 @@
 
 
 class EngineVersionTable:
-    """Keeps what the ordering hosts say about the engines of each model.
+    """Stores the engine versions that each model's driver broadcasts.
 
     :param links: the :class:`~goldcrestmoor.connection.peers.PeerLinks`.
     :param broadcast: the :class:`~goldcrestmoor.process.broadcast.TreeBroadcast`.
-    :param configuration: gives the
-        :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
+    :param configuration: returns the
+        :class:`~goldcrestmoor.version.configuration.document.Configuration` in effect.
     """
 
     __slots__ = ("_broadcast", "_configuration", "_message_by_model", "_sequence")
@@ -26,7 +26,7 @@
         links.register(EngineVersions, self._on_versions)
 
     def version_of(self, upstream):
-        """Return the version that an engine was last known to run, or None.
+        """Return the last known weight version of an engine, or None.
 
         :param upstream: the ``Upstream``.
         """
@@ -38,13 +38,13 @@
         return None if version == UNKNOWN_VERSION else version
 
     def broadcast(self, model, fencing, versions_by_upstream):
-        """Keep what the engines of a model run, and tell the other hosts.
+        """Store the versions of a model's engines and broadcast them to all hosts.
 
         :param model: the model.
-        :param fencing: the fencing number that they were ordered under.
-        :param versions_by_upstream: versions by upstream name, None if unknown.
+        :param fencing: the fencing number of the load orders.
+        :param versions_by_upstream: versions by upstream name; None where unknown.
         """
-        # Almost all engines run the same version, so only the others are named.
+        # Almost all engines run the same version, so only the exceptions are listed.
         version_by_name = {
             name: UNKNOWN_VERSION if version is None else version
             for name, version in versions_by_upstream.items()
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -1,6 +1,6 @@
-"""Give engines the orders that the plan of loads asks for.
+"""Sends engines the load orders that the load plan requires.
 
-The host that runs a model's jobs orders the model's engines, as it knows what waits.
+The host that runs a model's jobs sends them, because it knows which items wait.
 """
 
 import asyncio
@@ -14,29 +14,28 @@
 
 log = logging.getLogger("goldcrestmoor.orders")
 
-# Pauses end without an event that wakes the loop.
+# Retry delays end without an event that wakes the loop.
 TICK_MS = 100
-# A trainer that is late asks for its next step right after it names a version, and
+# A trainer that is late submits its next step right after it sets a target version, and
 # that step should find the engines free.
 STEP_GRACE_MS = 150
-# An order that was taken shows in the list by then, or is looked at again: a load
-# takes about a second, more when several happen at once, and the list lags.
+# An accepted order that does not show in the directory by then is reconsidered. A load
+# takes about a second, more if several run concurrently, and the directory lags.
 PENDING_TIMEOUT_MS = 5000
-# A refused engine is asked again after this, so that a busy one is not pressed.
+# The delay before an order is retried, so that a busy engine is not overloaded.
 REJECTED_RETRY_MS = 600
 
 
 class LoadOrders:
-    """Order engines to load the named versions of the models that this host runs.
+    """Orders engines to load the target versions of the models that this host runs.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param runs_model: tells whether this host runs a model's jobs now.
-    :param demand: gives the ``Demand`` for a
-        model.
+    :param runs_model: returns whether this host currently runs a model's jobs.
+    :param demand: returns the ``Demand`` for a model.
     :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param versions: the ``TargetVersions``.
-    :param routes: gives the ``RouteTable`` in force.
-    :param engines: reports and orders, such as the adapter's ``EngineControlClient``.
+    :param routes: returns the ``RouteTable`` in effect.
+    :param engines: sends orders and reads reports, such as ``EngineControlClient``.
     :param order_log: the :class:`~goldcrestmoor.version.weights.order_log.OrderLog`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param host_id: this host.
@@ -89,11 +88,11 @@
         self._tasks = TaskGroup()
 
     def wake(self):
-        """Look again at what is to be ordered."""
+        """Check again which orders are due."""
         self._wakeup.set()
 
     async def run(self):
-        """Order for good."""
+        """Send orders until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
@@ -104,7 +103,7 @@
             self._order_loads()
 
     async def close(self):
-        """Stop giving orders."""
+        """Cancel all orders being sent."""
         await self._tasks.close()
 
     def _order_loads(self):
@@ -117,7 +116,7 @@
                     self._order_model(table, service, model)
 
     def _is_due(self, model):
-        """Tell whether a model's version has been named long enough to be loaded."""
+        """Return whether a model's target version is old enough to be loaded."""
         version = self._versions.version_by_model.get(model)
         if version is None or not self._runs_model(model):
             return False
@@ -167,7 +166,7 @@
                 self._set_pending(load, REJECTED_RETRY_MS)
                 return
             if report.version_by_model.get(load.model, 0) >= load.version:
-                # The list will say so too; until then it is not asked again.
+                # The directory will show this soon; until then no order is sent.
                 return
             is_usable = self._directory.is_usable(upstream)
             if not is_usable or not self._runs_model(load.model):
@@ -187,10 +186,10 @@
                 accepted=report.accepted,
             )
         except ServiceError as e:
-            # It may be carried out yet, so it counts as loading until that settles.
+            # It may still be carried out, so the engine counts as loading for now.
             self._metrics.orders.labels(e.code).inc()
             log.info(
-                "%s was asked to load version %d of %s: %s",
+                "Ordering %s to load version %d of %s failed: %s",
                 upstream.name,
                 load.version,
                 load.model,
@@ -208,7 +207,7 @@
                     load.model,
                 )
             case OrderRefused(reason):
-                log.info("%s refused an order: %s.", upstream.name, reason)
+                log.info("%s rejected a load order: %s.", upstream.name, reason)
                 self._set_pending(load, REJECTED_RETRY_MS)
 
     def _set_pending(self, load, delay_ms):
@@ -217,7 +216,7 @@
 
 
 def _load_mode(table, service):
-    """Return what becomes of the runs: they may not mix versions on some routes."""
+    """Return the load mode: ``WAIT`` if a route needs a single version per item."""
     for routes in table.routes_by_host.values():
         for route in routes:
             serves = any(share.service == service for share in route.shares)
--- a/goldcrestmoor/version/weights/load_plan.py
+++ b/goldcrestmoor/version/weights/load_plan.py
@@ -1,44 +1,44 @@
-"""Which engines are ordered to load which weight version next.
-
-The load this answers: trainers name a version every few seconds, and the step that
-follows may still use the version before it. An engine that loads finishes what it
-runs but begins nothing for about a second, and loads get longer when many happen at
-once. So engines load when nothing waits for them, and an engine that can still serve
-the waiting items is left to them. Before a version's step has come it may come at any
-moment, so that half of the model's engines load at a time; after that, all. Where
-several models share the engines, each model has its own part of them: one load an
-engine and version, not one for each model. When engines are gone and a part gets too
-small for a step, parts overlap: an engine that loads one model goes on with the others.
-Of hundreds of engines only as many follow at once as the steps have use for; the rest
-come to versions that last.
+"""The plan of which engines load which weight version next.
+
+Workload: trainers set a new target version every few seconds, and the step that follows
+may still use the previous version. While an engine loads, it finishes its running
+requests but starts none for about a second, and loads take longer when many run
+concurrently. So engines load when no items wait for them, and an engine that can still
+serve the waiting items is not loaded. Until the first step of a version arrives, which
+may be at any moment, half of the model's engines load at a time; after that, all.
+Where several models share the engines, each model is assigned its own subset, so that
+an engine loads the versions of one model, not of all. When engines fail and a subset
+gets too small for a step, the subsets overlap: an engine that loads one model continues
+to serve the others. Of hundreds of engines, only as many load each version as the steps
+need; the rest load versions that stay the target for long enough.
 """
 
 import msgspec
 
 from goldcrestmoor.util import rendezvous_order
 
-# More loads at the same time than this share of the engines slow one another down.
+# Loads slow one another down if more than this share of the engines load concurrently.
 MAX_LOADING_SHARE = 0.4
-# Of a model's own engines, so that a step that comes meanwhile finds some.
+# Share of a model's engines, so that a step that arrives meanwhile finds free ones.
 MAX_OWN_LOADING_SHARE = 0.5
-# A model shares engines rather than have fewer than this, so that one can load or
+# A model shares engines with others if it has fewer than this, so that one can load or
 # crash while another serves.
 MIN_ENGINES_PER_MODEL = 2
-# A trainer that is late asks for two steps at once.
+# A trainer that is late submits two steps at once.
 CONCURRENT_STEPS = 2
-# The engines that no step has use for come to a version that is the newest for so long.
-# Of the 6 s in which weights that come every few minutes are wanted everywhere, a load
-# takes one.
+# Engines that no step needs load a version that has been the target for this long.
+# Weights published every few minutes must be loaded everywhere within 6 s, of which a
+# load takes one.
 FULL_ROLLOUT_AFTER_MS = 5000
 
 
 class EngineWeights(msgspec.Struct, frozen=True):
-    """One engine as the plan sees it.
+    """The state of one engine, as input of the plan.
 
     :param name: the engine's name.
-    :param version_by_model: the weight version of each model that it holds.
-    :param slots: how many requests it runs at a time.
-    :param is_loading: whether an order to it is not settled yet.
+    :param version_by_model: the loaded weight version of each model.
+    :param slots: the number of requests that it runs concurrently.
+    :param is_loading: whether an order to it is pending.
     """
 
     name: str
@@ -48,12 +48,12 @@
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What waits for a model's engines.
+    """The demand for a model's engines.
 
-    :param waiting: how many items wait for a slot.
-    :param min_version: the newest version that one of them needs at least.
-    :param newest_step: the newest version that an open job needs at least.
-    :param largest_step: the most items that a job has had; 0 while none has come.
+    :param waiting: the number of items waiting for a slot.
+    :param min_version: the highest minimum version of the waiting jobs.
+    :param newest_step: the highest minimum version of all open jobs.
+    :param largest_step: the largest item count of any job so far; 0 before the first.
     """
 
     waiting: int = 0
@@ -63,7 +63,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """One order to give.
+    """One load order to send.
 
     :param engine: the engine's name.
     :param model: the model.
@@ -76,19 +76,19 @@
 
 
 def plan_loads(model, version, engines, models, demand, target_age_ms=0):
-    """Yield the orders to give now for one model, what lags most first.
+    """Yield the load orders due for one model, most outdated engines first.
 
     :param model: the model.
-    :param version: its newest named version.
+    :param version: its target version.
     :param engines: a list of :class:`EngineWeights`.
     :param models: all models that share the engines.
     :param demand: the :class:`Demand` for the model.
-    :param target_age_ms: how long the version has been the newest.
+    :param target_age_ms: how long the version has been the target.
     """
     model_engines = assign_engines(engines, models)[model]
     if target_age_ms < FULL_ROLLOUT_AFTER_MS:
         model_engines = _needed_engines(model, model_engines, demand)
-    # A step needs the version before the one that it is asked after.
+    # The step that follows target version N requires at least version N - 1.
     has_step = demand.newest_step >= version - 1
     capacity = min(
         _load_capacity(engines, MAX_LOADING_SHARE),
@@ -109,10 +109,10 @@
 
 
 def _needed_engines(model, model_engines, demand):
-    """Return those of a model's engines that its steps have use for.
+    """Return those of a model's engines that its steps need.
 
-    An order has its price for each engine, and a thousand engines would be loaded for
-    steps that fill a dozen.
+    Each load has a cost, and otherwise a thousand engines would load for steps that
+    fill a dozen.
     """
     if not demand.largest_step:
         return model_engines
@@ -128,7 +128,7 @@
 
 
 def assign_engines(engines, models):
-    """Return each model's engines: those that have followed it, up to its part.
+    """Return each model's engines: an equal share, most recent versions first.
 
     :param engines: a list of :class:`EngineWeights`.
     :param models: the models that share them.
@@ -152,7 +152,7 @@
 
 
 def _share_engines(assigned, engine_by_name):
-    """Let models with few engines use others' as well, the least used first."""
+    """Assign engines of other models to models with too few, least used first."""
     uses_by_name = dict.fromkeys(engine_by_name, 0)
     for model_engines in assigned.values():
         for engine in model_engines:
@@ -167,7 +167,7 @@
 
 
 def _by_preference(model, names, engine_by_name):
-    """Return engines with those first that have followed a model."""
+    """Return engine names sorted by a model's loaded version, newest first."""
     order = rendezvous_order(model, sorted(names))
     # The sort is stable: engines that hold the same version keep their order.
     order.sort(key=lambda name: -_loaded_version(engine_by_name[name], model))
--- a/goldcrestmoor/version/weights/order_log.py
+++ b/goldcrestmoor/version/weights/order_log.py
@@ -1,8 +1,8 @@
-"""Who ordered an engine last and when: what keeps two hosts from taking turns.
+"""The log of the last load order to each engine: which host sent it, and when.
 
-Engines that ignore fencing numbers carry out whatever they are sent. So each order
-is written down before it is sent, and another host's order only follows once the
-last one has had its time.
+Engines that ignore fencing numbers carry out every order. So each order is logged in
+the store before it is sent, and another host may send one only after the turn of the
+last host is over. This keeps two hosts from ordering an engine alternately.
 """
 
 import msgspec
@@ -11,21 +11,22 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
 TABLE = "orders"
-# The hosts read the store's clock from its answers, each a round trip late at most.
+# Hosts read the store's clock from its responses, at most one round trip late.
 CLOCK_MARGIN_MS = 500
-# An order that would leave later than this after the time of its entry is given up.
+# An order is dropped if it would be sent later than this after its entry's time.
 MAX_SEND_DELAY_MS = 400
-# An entry waits behind the writes of other hosts for so many answers of a read.
+# A write may queue behind the writes of other hosts, for up to this many times the
+# latency of a read.
 WRITE_LATENCY_FACTOR = 8
 
 
 class OrderEntry(msgspec.Struct, frozen=True):
-    """The last order to an engine.
+    """The last load order to an engine.
 
-    :param holder: the host that gave it.
-    :param fencing: its fencing number; grows by one with each order.
-    :param at_ms: when it was to be written down by, on the store's clock. The order
-        leaves no later than ``MAX_SEND_DELAY_MS`` after that.
+    :param holder: the host that sent it.
+    :param fencing: its fencing number; increases by one with each order.
+    :param at_ms: the deadline for logging it, on the store's clock. The order is sent
+        no later than ``MAX_SEND_DELAY_MS`` after that.
     """
 
     holder: str
@@ -34,12 +35,12 @@
 
 
 class OrderLog:
-    """Write orders down before they are sent.
+    """Logs load orders in the store before they are sent.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param store: the store's client.
     :param host_id: this host.
-    :param turn_ms: how long after one host's order another's must not follow.
+    :param turn_ms: the minimum time between the orders of two hosts, in milliseconds.
     """
 
     __slots__ = ("_clock", "_store", "_host_id", "_turn_ms", "_cached_by_engine")
@@ -52,18 +53,18 @@
         self._cached_by_engine = {}
 
     async def append(self, engine):
-        """Write down that an order is about to be given.
+        """Log an order that is about to be sent.
 
         :param engine: the engine's name.
-        :return: the order's fencing number, or None when another host has its turn.
-        :raises ServiceError: when it may not have been written; give no order.
+        :return: the order's fencing number, or None if it is another host's turn.
+        :raises ServiceError: when it may not have been logged; send no order.
         """
         entry, version = await self._last_entry(engine)
         now_ms = self._store.now_ms()
         if not may_order(entry, self._host_id, now_ms, self._turn_ms):
             return None
         fencing = entry.fencing + 1 if entry else 1
-        # A slow store would else have each entry made too late.
+        # Without this allowance, a slow store would make each entry late.
         write_ms = WRITE_LATENCY_FACTOR * self._store.latency_ms()
         new = OrderEntry(self._host_id, fencing, now_ms + write_ms)
         self._cached_by_engine.pop(engine, None)
@@ -79,7 +80,7 @@
             answer.version_by_key[f"{TABLE}/{engine}"],
         )
         if self._clock.now_ms() - sent_ms > write_ms + MAX_SEND_DELAY_MS:
-            text = "Writing the order down took too long to send it now."
+            text = "Logging the load order took too long to still send it."
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, text)
         return fencing
 
@@ -93,17 +94,17 @@
         try:
             return msgspec.json.decode(row.value, type=OrderEntry), row.version
         except msgspec.MsgspecError as e:
-            text = f"The entry of the last order to {engine} is malformed."
+            text = f"The logged load order of {engine} is malformed."
             raise ServiceError(ErrorKind.INTERNAL, text) from e
 
 
 def may_order(entry, host_id, now_ms, turn_ms):
-    """Tell whether a host may order an engine, given the last order to it.
+    """Return whether a host may order an engine, given the last order to it.
 
     :param entry: the :class:`OrderEntry`, or None.
     :param host_id: the host.
     :param now_ms: the time on the store's clock.
-    :param turn_ms: how long after one host's order another's must not follow.
+    :param turn_ms: the minimum time between the orders of two hosts, in milliseconds.
     """
     if entry is None or entry.holder == host_id:
         return True
--- a/goldcrestmoor/version/weights/publish_interval.py
+++ b/goldcrestmoor/version/weights/publish_interval.py
@@ -1,4 +1,4 @@
-"""How often a trainer publishes, and when a stream will be too old for it."""
+"""Estimates a trainer's publish interval and when a stream becomes too old for it."""
 
 import collections
 import statistics
@@ -7,9 +7,9 @@
 
 
 class PublishIntervalEstimator:
-    """The times between a trainer's versions, as one step's holder sees them.
+    """Averages the intervals between a trainer's versions, as seen by a step's holder.
 
-    :param version: the trainer's version at the start.
+    :param version: the trainer's initial version.
     """
 
     __slots__ = ("_version", "_changed_ms", "_intervals_ms")
@@ -20,10 +20,10 @@
         self._intervals_ms = collections.deque(maxlen=MAX_INTERVALS)
 
     def record(self, version, now_ms):
-        """Take in the trainer's present version.
+        """Record the trainer's current version.
 
         :param version: the version.
-        :param now_ms: the present time, on the clock's scale.
+        :param now_ms: the current time, on the clock's scale.
         """
         if version <= self._version:
             return
@@ -33,11 +33,11 @@
         self._version, self._changed_ms = version, now_ms
 
     def expires_at_ms(self, oldest_version, bound):
-        """Return when a version is expected to be too old, or None.
+        """Return when a version is expected to exceed the staleness bound, or None.
 
         :param oldest_version: the version of a stream's oldest tokens.
-        :param bound: the most versions that a sample may lag behind.
-        :return: a time on the clock's scale; None while the pace is not known.
+        :param bound: the maximum number of versions that a sample may be behind.
+        :return: a time on the clock's scale; None while the interval is unknown.
         """
         if not self._intervals_ms:
             return None
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -1,4 +1,4 @@
-"""The weight version that each model's engines are to run."""
+"""The published weight version of each model, which its engines should run."""
 
 import asyncio
 import contextlib
@@ -26,11 +26,11 @@
 
 
 class VersionRow(msgspec.Struct, frozen=True):
-    """A model's published version as the table service keeps it.
+    """A model's published version as stored in the table service.
 
     :param version: the version.
     :param published_by: the account that published it.
-    :param token: the one attempt that wrote the row.
+    :param token: identifies the publish call that wrote the row.
     """
 
     version: int
@@ -42,7 +42,7 @@
 
 
 class PublishedVersions:
-    """Publishes weight versions and knows the current one of each model.
+    """Publishes weight versions and tracks the current one of each model.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the :class:`~goldcrestmoor.adapters.table.TableClient`.
@@ -77,14 +77,14 @@
         links.register(VersionPublished, self._on_published)
 
     def current(self, model):
-        """Return the newest version of a model that this host knows of, or 0.
+        """Return the newest version of a model known to this host, or 0.
 
         :param model: the model.
         """
         return self._versions_by_model.get(model, 0)
 
     def published_by(self, account, model):
-        """Return the newest version that an account is known to have published, or 0.
+        """Return the newest version known to be published by an account, or 0.
 
         :param account: the account's name.
         :param model: the model.
@@ -92,24 +92,24 @@
         return self._versions_by_publisher.get((account, model), 0)
 
     def on_change(self, callback):
-        """Have a function called with each model whose version has grown.
+        """Register a callback for models whose version has increased.
 
-        :param callback: a function of the model's name.
+        :param callback: called with the model's name.
         """
         self._callbacks.append(callback)
 
     async def publish(self, model, version, account):
-        """Make a version the one that a model's engines are to run.
+        """Publish a version, so that the model's engines load it.
 
-        Publishing the same version again is harmless.
+        Publishing the same version again has no effect.
 
         :param model: the model.
-        :param version: the version; it must be above the current one.
+        :param version: the version, which must be newer than the current one.
         :param account: the publishing account's name.
-        :raises ServiceError: ``NOT_FOUND`` when the weight store lacks it,
-            ``VERSION_CONFLICT`` when it is not above the current one,
+        :raises ServiceError: ``NOT_FOUND`` when the weight store does not have it,
+            ``VERSION_CONFLICT`` when it is not newer than the current one,
             ``PLATFORM_UNAVAILABLE`` when nothing was written and
-            ``OUTCOME_UNKNOWN`` when that cannot be told.
+            ``OUTCOME_UNKNOWN`` when something may have been.
         """
         await self._check_exists(model, version)
         new = VersionRow(version, account, secrets.token_hex(TOKEN_BYTES))
@@ -119,7 +119,7 @@
                 if await self._publish_once(model, new):
                     break
             except ServiceError as e:
-                # After one lost answer, the version may have been published.
+                # After a lost response, the version may have been published.
                 if e.kind is ErrorKind.OUTCOME_UNKNOWN:
                     is_unknown = True
                 elif is_unknown and e.kind is ErrorKind.PLATFORM_UNAVAILABLE:
@@ -128,16 +128,18 @@
                     raise
         else:
             kind = ErrorKind.OUTCOME_UNKNOWN if is_unknown else ErrorKind.OVERLOADED
-            raise ServiceError(kind, "The version's row would not settle.")
+            raise ServiceError(
+                kind, "The version could not be written: its row kept changing."
+            )
         log.info("Version %d of %s was published by %s.", version, model, account)
         self._apply(model, version, account)
         self._broadcast.broadcast(VersionPublished(model, version, account))
 
     @contextlib.asynccontextmanager
     async def fast_polling(self):
-        """Have the versions read often while the context lasts, and at its start.
+        """Poll the versions at the short interval within the context, and on entry.
 
-        Only the host that orders engines must learn of each version soon when
+        Only the host that orders engines must receive each version quickly even when
         the message about it is lost.
         """
         self._fast_poll_count += 1
@@ -163,7 +165,7 @@
             for row in await self._table.scan(TABLE, ""):
                 self._apply_row(row)
         except ServiceError as e:
-            log.warning("The versions were not read: %s.", e)
+            log.warning("Reading the published versions failed: %s.", e)
             return False
         return True
 
@@ -185,11 +187,14 @@
         try:
             exists = await self._weight_store.exists(model, version)
         except ServiceError as e:
-            # Engines meet the store's limit themselves and are ordered again.
-            log.warning("The weight store was not asked: %s.", e)
+            # Publish anyway: engines also handle the store's limit, as their orders are
+            # retried.
+            log.warning("Checking for the version in the weight store failed: %s.", e)
             return
         if not exists:
-            raise ServiceError(ErrorKind.NOT_FOUND, "The weight store lacks it.")
+            raise ServiceError(
+                ErrorKind.NOT_FOUND, "The weight store does not have the version."
+            )
 
     async def _publish_once(self, model, new):
         row = await self._table.get(TABLE, model)
@@ -197,7 +202,7 @@
             return True
         check = Check(TABLE, model, row.version if row else 0)
         write = Write(TABLE, model, msgspec.json.encode(new))
-        # A lost answer is settled by the next try, which reads the row back.
+        # After a lost response, the next attempt reads the row to learn the outcome.
         return isinstance(await self._table.transact([check], [write]), Committed)
 
     async def _on_published(self, sender, message):
@@ -209,7 +214,7 @@
             found = _decode(row.value)
             self._apply(row.key, found.version, found.published_by)
         except ServiceError as e:
-            log.error("The row of %s was not read: %s", row.key, e)
+            log.error("Version row of %s ignored: %s", row.key, e)
 
     def _apply(self, model, version, account):
         if version > self.published_by(account, model):
@@ -226,9 +231,9 @@
 
 
 def _is_published(known, new):
-    """Tell whether a row already says what is to be published.
+    """Return whether a row already contains the version to publish.
 
-    :raises ServiceError: ``VERSION_CONFLICT`` when it says something else that
+    :raises ServiceError: ``VERSION_CONFLICT`` when it contains a different entry that
         is not older.
     """
     if known.token == new.token:
@@ -237,7 +242,7 @@
     if same:
         return True
     if known.version >= new.version:
-        text = f"Version {known.version} is current already."
+        text = f"The current version is already {known.version}."
         raise ServiceError(ErrorKind.VERSION_CONFLICT, text)
     return False
 
--- a/goldcrestmoor/version/weights/rollout_strategies.py
+++ b/goldcrestmoor/version/weights/rollout_strategies.py
@@ -1,4 +1,4 @@
-"""How many engines of a pool load new weights at the same time."""
+"""Strategies for how many engines of a pool load new weights concurrently."""
 
 import math
 from dataclasses import dataclass
@@ -6,23 +6,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AllAtOnce:
-    """Every engine at once: the newest weights soonest, the pool pauses."""
+    """All engines load at once: fastest rollout, but the pool stops meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rolling:
-    """A part after the other, so that the pool never stops.
+    """Engines load in batches, so that the pool never stops.
 
-    :param fraction: the part of all engines that load together, above 0, up to 1.
+    :param fraction: the fraction of engines that load concurrently, in (0, 1].
     """
 
     fraction: float
 
 
 def max_loads(total, strategy):
-    """Return how many upstreams may load at the same time.
+    """Return how many upstreams may load concurrently.
 
-    :param total: how many upstreams the model has.
+    :param total: the number of upstreams of the model.
     :param strategy: :class:`AllAtOnce` or :class:`Rolling`.
     """
     match strategy:
@@ -31,4 +31,4 @@
         case Rolling(fraction):
             return max(1, math.floor(fraction * total))
         case _:
-            raise TypeError(f"{strategy} is no strategy.")
+            raise TypeError(f"Unknown rollout strategy: {strategy}.")
--- a/goldcrestmoor/version/weights/target_versions.py
+++ b/goldcrestmoor/version/weights/target_versions.py
@@ -1,4 +1,4 @@
-"""The weight versions that trainers have named."""
+"""The target weight versions that trainers have set."""
 
 import logging
 
@@ -6,12 +6,12 @@
 
 
 class TargetVersions:
-    """The newest named version of each model; it never goes back.
+    """The target version of each model, which only increases.
 
-    :param decode: makes a model and a version of a row's value; raises
-        :class:`ValueError` for one that names none.
+    :param decode: returns the model and version of a row's value; raises
+        :class:`ValueError` if the value is malformed.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param on_change: called after a version has been named.
+    :param on_change: called after a target version has increased.
     """
 
     __slots__ = ("version_by_model", "_decode", "_metrics", "_on_change")
@@ -23,7 +23,7 @@
         self._on_change = on_change
 
     def put(self, value):
-        """Take in what a row says.
+        """Apply a row of the target versions.
 
         :param value: the row's bytes.
         """
@@ -31,9 +31,9 @@
             model, version = self._decode(value)
         except (ValueError, TypeError) as e:
             self._metrics.bad_input.labels("version").inc()
-            log.warning("A named version is malformed: %s.", e)
+            log.warning("Target version row is malformed, ignored: %s.", e)
             return
         if version > self.version_by_model.get(model, 0):
-            log.info("Version %d of %s is named.", version, model)
+            log.info("Target version %d of %s set.", version, model)
             self.version_by_model[model] = version
             self._on_change()
--- a/goldcrestmoor/version/weights/weight_messages.py
+++ b/goldcrestmoor/version/weights/weight_messages.py
@@ -1,10 +1,10 @@
-"""What hosts tell one another about weight versions."""
+"""Messages between hosts about weight versions."""
 
 from goldcrestmoor import wire
 
 
 class VersionPublished(wire.Message, frozen=True):
-    """Says that a trainer has published a weight version.
+    """Announces that a trainer has published a weight version.
 
     :param model: the model.
     :param version: the version.
@@ -19,13 +19,13 @@
 
 
 class EngineVersions(wire.Message, frozen=True):
-    """Says which versions a model's engines run.
+    """Reports the weight versions of a model's engines.
 
     :param model: the model.
-    :param fencing: the fencing number of the host that ordered them.
-    :param sequence: grows with each message of that host.
-    :param version: what every engine runs that is not an exception.
-    :param exceptions: other versions by the upstream's name; -1 where unknown.
+    :param fencing: the fencing number of the host that sent their load orders.
+    :param sequence: increases with each message of that host.
+    :param version: the version of all engines that are not exceptions.
+    :param exceptions: the other versions by upstream name; -1 where unknown.
     :param targets: the hosts that the receiver passes the message on to.
     """
 
--- a/goldcrestmoor/version/weights/weight_update_manager.py
+++ b/goldcrestmoor/version/weights/weight_update_manager.py
@@ -1,4 +1,4 @@
-"""Orders to engines to load the current weights, given by one host a model."""
+"""Loads current weights onto engines, driven by one host per model."""
 
 import logging
 import random
@@ -19,13 +19,13 @@
 
 
 class WeightUpdateManager:
-    """Stands for the lease of each model, and drives those that it holds.
+    """Competes for the lease of each model and updates the models whose lease it holds.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param leases: the :class:`~goldcrestmoor.process.leases.LeaseClient`.
     :param ownership: the :class:`~goldcrestmoor.process.ownership.Ownership`.
-    :param configuration: gives the
-        :class:`~goldcrestmoor.version.configuration.document.Configuration` in force.
+    :param configuration: returns the
+        :class:`~goldcrestmoor.version.configuration.document.Configuration` in effect.
     :param versions: the ``PublishedVersions``.
     :param engine_versions: the
         :class:`~goldcrestmoor.version.weights.engine_versions.EngineVersionTable`.
@@ -83,7 +83,7 @@
         versions.on_change(self._wake)
 
     async def run(self):
-        """Stand for the models' leases until cancelled."""
+        """Try to acquire the models' leases until cancelled."""
         try:
             while True:
                 for model in self._models():
@@ -94,7 +94,7 @@
             await self._tasks.close()
 
     async def stop(self):
-        """Let the orders that are on their way end, and hand the duties over."""
+        """Wait for the orders in flight to end, and release the leases."""
         self._stopping = True
         updaters = self._updaters_by_model
         end = Deadline.after(self._clock, ORDER_TIMEOUT_MS)
@@ -104,7 +104,7 @@
             await self._clock.sleep_ms(STOP_POLL_MS)
 
     def is_updating(self, model):
-        """Tell whether this host orders a model's engines.
+        """Return whether this host is updating a model's engines.
 
         :param model: the model.
         """
@@ -131,7 +131,7 @@
         try:
             lease = await self._leases.acquire(f"weights/{model}", LEASE_MS)
         except ServiceError as e:
-            log.warning("The lease on %s was not taken: %s.", model, e)
+            log.warning("Acquiring the weight lease on %s failed: %s.", model, e)
             return
         if lease is not None:
             updater = WeightUpdater(model=model, lease=lease, **self._updater_args)
@@ -147,5 +147,6 @@
             if updater.is_settled():
                 await self._leases.release(updater.lease)
             else:
-                # An order may still take effect, so the next holder must wait.
+                # An order may still be carried out, so the lease must expire before
+                # the next holder starts.
                 self._leases.abandon(updater.lease)
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -1,4 +1,4 @@
-"""Brings the engines of one model to its current version."""
+"""Makes the engines of one model load its current version."""
 
 import asyncio
 import itertools
@@ -27,9 +27,9 @@
 
 
 class _Engine:
-    """What the driver knows of one engine.
+    """The state of one engine, as tracked by the updater.
 
-    :param orders_from_ms: when it may be ordered for the first time.
+    :param orders_from_ms: the earliest time of the first order.
     """
 
     __slots__ = (
@@ -51,14 +51,14 @@
 
 
 class WeightUpdater:
-    """Orders the engines of one model, as the holder of the model's lease.
+    """Orders the engines of one model, while this host holds the model's lease.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param model: the model.
-    :param lease: the :class:`~goldcrestmoor.process.leases.Lease` on it.
-    :param configuration: gives the configuration in force.
+    :param lease: the :class:`~goldcrestmoor.process.leases.Lease` on the model.
+    :param configuration: returns the configuration in effect.
     :param versions: the ``PublishedVersions``.
-    :param engine_versions: where the engines' versions are published.
+    :param engine_versions: broadcasts the engines' versions.
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param strategy: a class of :mod:`goldcrestmoor.version.weights.rollout_strategies`.
@@ -120,11 +120,11 @@
         self._tasks = TaskGroup()
 
     def wake(self):
-        """Look at once whether there is something to order."""
+        """Check at once which orders and reads are due."""
         self._wakeup.set()
 
     def is_settled(self):
-        """Tell whether no order can still take effect at an engine."""
+        """Return whether no order can still be carried out by an engine."""
         return (
             not self._load_count and self._clock.now_ms() >= self._unresolved_until_ms
         )
@@ -132,7 +132,7 @@
     async def run(self, is_candidate):
         """Order engines while the lease is held.
 
-        :param is_candidate: tells whether this host should still do it.
+        :param is_candidate: returns whether this host should continue.
         """
         try:
             while self.lease.holds() and not self._is_superseded and is_candidate():
@@ -140,7 +140,7 @@
                 self._start_due(self._upstreams())
                 self._broadcast_versions()
                 await self._wait()
-            # Whoever comes next must not meet an order that is on its way.
+            # The next holder must not start while an order is in flight.
             while self._load_count:
                 self._wakeup.clear()
                 await self._wait()
@@ -166,10 +166,11 @@
         return upstreams
 
     def _orders_from_ms(self, upstream):
-        """Return from when on an engine may be ordered.
+        """Return the earliest time at which an engine may be ordered.
 
-        An engine that ignores fencing numbers could take a late order of the
-        holder before. Its lease is over, so its last order ends in time.
+        An engine that ignores fencing numbers could carry out a late order of the
+        previous holder. That holder's lease is over, so its last order ends within
+        the order timeout.
         """
         if upstream.fencing or self.lease.was_released:
             return self._started_ms
@@ -183,7 +184,7 @@
         finally:
             pause.cancel()
             woken.cancel()
-        # Many engines answer at about the same time; one look serves them all.
+        # Many engines respond at about the same time; one check handles them all.
         await self._clock.sleep_ms(COALESCE_DELAY_MS)
 
     def _start_due(self, upstreams):
@@ -199,7 +200,7 @@
 
     def _start(self, coroutine, upstream):
         self._engines_by_name[upstream.name].busy = True
-        self._tasks.start(coroutine, f"tend {upstream.name}")
+        self._tasks.start(coroutine, f"engine {upstream.name}")
 
     def _should_read(self, upstream, now_ms):
         engine = self._engines_by_name[upstream.name]
@@ -217,7 +218,7 @@
         try:
             state = await self._engines.state(upstream, timeout_ms=STATE_TIMEOUT_MS)
         except ServiceError as e:
-            log.debug("%s told no state: %s.", upstream.name, e)
+            log.debug("Reading the state of %s failed: %s.", upstream.name, e)
             engine.read_ms = self._clock.now_ms() + engine.backoff.next_ms()
             return
         finally:
@@ -226,14 +227,14 @@
         engine.read_ms = self._clock.now_ms() + STATE_READ_INTERVAL_MS
         version = state.version if state.model == self.model else OTHER_MODEL_VERSION
         if engine.version not in (None, version):
-            log.warning("%s runs version %d unasked.", upstream.name, version)
+            log.warning("%s runs version %d without an order.", upstream.name, version)
         engine.version = version
 
     async def _order(self, upstream, target):
         engine = self._engines_by_name[upstream.name]
         self._load_count += 1
         try:
-            # The lease may have lapsed since this task was started.
+            # The lease may have expired since this task was started.
             if self.lease.holds() and not self._is_superseded:
                 async with asyncio.timeout(ORDER_TIMEOUT_MS / MS_PER_SECOND):
                     loaded = await self._engines.order(
@@ -257,29 +258,29 @@
     def _on_loaded(self, upstream, engine, target, loaded):
         engine.version = loaded
         now_ms = self._clock.now_ms()
-        # What the engine reports lags behind what it answered.
+        # The state that the engine reports lags behind its response to the order.
         engine.read_ms = now_ms + STATE_LAG_MS
         if loaded == target:
             engine.backoff.reset()
             self._count_order("loaded")
             return
-        log.warning("%s kept version %d of %s.", upstream.name, loaded, self.model)
+        log.warning("%s stayed at version %d of %s.", upstream.name, loaded, self.model)
         self._count_order("swap_failed")
         engine.retry_ms = now_ms + engine.backoff.next_ms()
 
     def _on_failure(self, upstream, engine, error):
         kind = getattr(error, "kind", ErrorKind.UPSTREAM_TIMEOUT)
-        log.warning("%s was not ordered: %s.", upstream.name, error)
+        log.warning("Load order to %s failed: %s.", upstream.name, error)
         self._count_order(kind.value)
         now_ms = self._clock.now_ms()
         if kind is ErrorKind.VERSION_CONFLICT:
-            # Another host has ordered it under a newer lease.
+            # Another host has ordered the engine under a newer lease.
             self._is_superseded = True
             return
         engine.retry_ms = now_ms + engine.backoff.next_ms()
         if kind is ErrorKind.OVERLOADED:
-            # The weight store's limit: its time to come back is kept, and the
-            # backoff spreads those that were refused together.
+            # The weight store's limit: its retry delay is observed, and the backoff
+            # spreads the retries of orders that were rejected together.
             engine.retry_ms += error.retry_after_ms
         else:
             engine.version = None
