--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions by themselves, each replaying the load that it answers."""
+"""Decision functions in isolation, each under the workload it is designed for."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 
 
 def engine(name, in_flight=0, **fields):
-    """Return an engine with twelve slots that holds version 5."""
+    """Return an engine with twelve slots that has loaded version 5."""
     fields = {"slots": 12, "version": 5, **fields}
     return EngineLoad(name=name, in_flight=in_flight, **fields)
 
@@ -42,7 +42,7 @@
         far = [claim_delay_ms(False, False, False, share) for share in shares]
         self.assertEqual(claim_delay_ms(True, False, True, 1.0), 0)
         self.assertGreater(min(near), 0)
-        # A claim is two calls to the store; whoever is farther sees that it was made.
+        # A claim takes two store calls; hosts of other zones see it before their own.
         self.assertGreaterEqual(min(far) - max(near), 50)
 
     def test_hosts_that_are_equally_near_do_not_claim_all_at_once(self):
@@ -51,7 +51,7 @@
         self.assertEqual(len(delays), 11)
 
     def test_when_all_are_restarted_each_runner_goes_on_at_once(self):
-        """Nobody else may take the duty before the old process's lease has lapsed."""
+        """No other host may claim the duty before the old process's lease expires."""
         self.assertEqual(claim_delay_ms(False, True, False, 1.0), 0)
 
 
@@ -80,7 +80,7 @@
         self.assertEqual(choose_engine(loads, 5), "b")
 
     def test_the_longest_items_go_to_the_fastest_engines(self):
-        """A third of the servers is slower for good; items come the longest first."""
+        """A third of the servers is permanently slower; the longest items come first."""
         ms_per_event_by_engine = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
         in_flight, order = dict.fromkeys(ms_per_event_by_engine, 0), []
         for _ in range(60):
@@ -92,7 +92,7 @@
             in_flight[order[-1]] += 1
         self.assertEqual(set(order[:36]), {"a", "c", "e"})
         self.assertEqual(in_flight, dict.fromkeys(ms_per_event_by_engine, 12))
-        # Those that are alike fill evenly, so that none is full before its time.
+        # Equally fast engines fill evenly, so that none is full before the others.
         self.assertEqual(len({order[:12].count(name) for name in "ace"}), 1)
 
     def test_an_engine_that_is_not_known_yet_is_tried(self):
@@ -188,13 +188,13 @@
 
 
 def weights(name, is_loading=False, **version_by_model):
-    """Return an engine as the plan of loads sees it."""
+    """Return an engine as input of the load plan."""
     return EngineWeights(name, version_by_model, is_loading=is_loading)
 
 
 class LoadPlanTest(unittest.TestCase):
-    def play(self, held, named, demand=None, slots=1):
-        """Let planned loads end at once; return their engines in rounds by model."""
+    def load_rounds(self, held, named, demand=None, slots=1):
+        """Apply planned loads at once until none is left; return their engines by round."""
         rounds = {model: [] for model in named}
         for model, version in named.items():
             while True:
@@ -211,7 +211,7 @@
 
     def test_six_engines_follow_one_model_two_at_a_time(self):
         held = {name: {"m": 1} for name in "abcdef"}
-        rounds = self.play(held, {"m": 2})["m"]
+        rounds = self.load_rounds(held, {"m": 2})["m"]
         self.assertEqual([len(engines) for engines in rounds], [2, 2, 2])
         self.assertEqual({name for r in rounds for name in r}, set("abcdef"))
 
@@ -220,7 +220,7 @@
         held = {name: dict.fromkeys(models, 1) for name in "abcdef"}
         parts = []
         for version in range(2, 6):
-            rounds = self.play(held, dict.fromkeys(models, version))
+            rounds = self.load_rounds(held, dict.fromkeys(models, version))
             parts.append({m: sorted(sum(r, [])) for m, r in rounds.items()})
         self.assertEqual([len(part) for part in parts[0].values()], [2, 2, 2])
         self.assertEqual(parts, parts[:1] * 4)
@@ -260,7 +260,7 @@
         self.assertEqual(loads, [Load("c", "m", 4)])
 
     def test_models_share_engines_when_some_are_gone(self):
-        """Steps of 64 items at one engine of twelve slots waited for six seconds."""
+        """Steps of 64 items waited six seconds at a single engine of twelve slots."""
         models = ["m0", "m1", "m2"]
         for count in (3, 4, 5):
             names = "abcdef"[:count]
@@ -268,26 +268,26 @@
             assigned = assign_engines(engines, models)
             parts = [{engine.name for engine in part} for part in assigned.values()]
             self.assertEqual([len(part) for part in parts], [2, 2, 2], count)
-            # No engine is left out, and none follows one model more than needed.
+            # All engines are assigned, about equally often.
             uses = [sum(name in part for part in parts) for name in names]
             self.assertLessEqual(max(uses) - min(uses), 1, uses)
 
     def test_only_as_many_engines_follow_as_the_steps_have_use_for(self):
-        """Steps of 104 items, two at a time at the most, before 300 engines."""
+        """Steps of 104 items, at most two at a time, with 300 engines."""
         held = {f"engine-{n:03d}": {"m": 1} for n in range(300)}
         demand = Demand(largest_step=104)
         followers = []
         for version in range(2, 6):
-            rounds = self.play(held, {"m": version}, demand, slots=12)["m"]
+            rounds = self.load_rounds(held, {"m": version}, demand, slots=12)["m"]
             followers.append({name for names in rounds for name in names})
         self.assertEqual(len(followers[0]), 18)
         self.assertEqual(followers, followers[:1] * 4)
         del held[min(followers[0])]
-        rounds = self.play(held, {"m": 5}, demand, slots=12)["m"]
+        rounds = self.load_rounds(held, {"m": 5}, demand, slots=12)["m"]
         self.assertEqual([len(names) for names in rounds], [1])
 
     def test_all_engines_come_to_a_version_that_lasts(self):
-        """Weights every six minutes, wanted on all servers in six seconds."""
+        """New weights every six minutes must be on all servers within six seconds."""
         engines = [EngineWeights(f"engine-{n}", {"m": 1}, 12) for n in range(300)]
         demand = Demand(largest_step=104)
         at_once = list(plan_loads("m", 2, engines, ["m"], demand, 4000))
@@ -298,7 +298,7 @@
             for e in engines
         ]
         later = list(plan_loads("m", 2, engines, ["m"], demand, 5000))
-        # Two fifths of them at a time, so that loads do not hold one another up.
+        # Two fifths of the engines at a time, so that loads do not slow one another.
         self.assertEqual(len(later), 120)
 
     def test_a_model_keeps_an_engine_that_it_shares(self):
@@ -306,7 +306,7 @@
         held = {name: dict.fromkeys(models, 1) for name in "abcd"}
         parts = []
         for version in range(2, 6):
-            rounds = self.play(held, dict.fromkeys(models, version))
+            rounds = self.load_rounds(held, dict.fromkeys(models, version))
             parts.append({m: sorted(sum(r, [])) for m, r in rounds.items()})
         self.assertEqual(parts, parts[:1] * 4)
 
@@ -319,7 +319,7 @@
         assigned = assign_engines(engines, ["m0", "m1"])
         names = {m: sorted(e.name for e in part) for m, part in assigned.items()}
         self.assertEqual(names["m0"], ["a", "b"])
-        # The engine that follows it already, and one that it shares.
+        # The engine that has loaded it already, and a shared one.
         self.assertIn("c", names["m1"])
         self.assertEqual(len(names["m1"]), 2)
 
@@ -333,7 +333,7 @@
         return self.readiness.update(reaches_store, views, has_other_zones)
 
     def wants(self, reaches_store, *views, has_other_zones=True):
-        """Return the judgement after two checks that saw the same."""
+        """Return the result after two checks with the same input."""
         self.check(reaches_store, *views, has_other_zones=has_other_zones)
         return self.check(reaches_store, *views, has_other_zones=has_other_zones)
 
@@ -352,7 +352,7 @@
         self.assertTrue(self.wants(False, ("a", False), has_other_zones=False))
 
     def test_one_late_round_of_answers_turns_nobody_away(self):
-        """The store is away for all, and this host is busy now and then."""
+        """The store is unavailable for all, and this host is busy at times."""
         for _ in range(3):
             self.assertTrue(self.check(False, ("a", False), ("b", False)))
             self.assertTrue(self.check(False))
--- a/test/test_order_log.py
+++ b/test/test_order_log.py
@@ -1,4 +1,4 @@
-"""Orders written down at stores that are well or slow."""
+"""Logging load orders in stores of normal and high latency."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class TimedStore:
-    """One row, written after a while; its clock runs with the host's."""
+    """Stores one row after a delay; its clock equals the host's."""
 
     def __init__(self, clock, write_ms, read_ms):
         self.clock = clock
@@ -35,7 +35,7 @@
         return self.row
 
     async def transact(self, checks, writes):
-        # Its own time passes, without anybody to advance the clock.
+        # Time passes during the write, without the test advancing the clock.
         self.clock._now_ms += self.write_ms
         version = (self.row.version if self.row else 0) + 1
         self.row = Row(writes[0].key, version, writes[0].value)
@@ -53,11 +53,11 @@
         )
 
     async def test_an_order_is_given_while_the_store_is_slow(self):
-        """Sixty times slower, an entry waits behind three hosts' writes."""
+        """At 60 times the usual latency, a write queues behind those of three hosts."""
         log = self.make(write_ms=1200, read_ms=240)
         self.assertEqual(await log.append("engine"), 1)
         entry = msgspec.json.decode(self.store.row.value, type=OrderEntry)
-        # Another host counts the turn from when the order may have left.
+        # For another host, the turn starts when the order may have been sent.
         left_ms = self.clock.now_ms()
         turn_over_ms = left_ms + TURN_MS - 1
         self.assertFalse(may_order(entry, "host-b", turn_over_ms, TURN_MS))
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -1,4 +1,4 @@
-"""Engines come to the published version, and never under two holders."""
+"""Engines load the published version, and never under two lease holders."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
 
 
 class FakeEngine:
-    """An engine that loads what it is ordered to, and keeps a record."""
+    """An engine that loads the ordered versions and records each load."""
 
     def __init__(self, clock, fencing):
         self.clock = clock
@@ -63,7 +63,7 @@
 
 
 class FakeEngines:
-    """One host's client to the engines; an order can be held before it is sent."""
+    """One host's engine client; its gate can block an order before it is sent."""
 
     def __init__(self, engines_by_name):
         self.engines_by_name = engines_by_name
@@ -229,7 +229,7 @@
         self.assertEqual(most, 2)
 
     async def freeze_one_driver(self, fencing):
-        """Freeze a driver just before it sends version 1; let another take over."""
+        """Freeze a driver just before it orders version 1; let another host take over."""
         self.add_engines(4, fencing)
         old = self.add_host("host-a")
         await self.wait_until(lambda: old.orders.is_updating("lm"))
@@ -256,8 +256,8 @@
     async def test_a_frozen_driver_wakes_before_engines_that_ignore_fencing(self):
         waited_ms = await self.freeze_one_driver(fencing=False)
         self.assertGreaterEqual(waited_ms, LEASE_MS + ORDER_TIMEOUT_MS)
-        # An order that was held for longer than any order may take slips
-        # through; reading back brings the engine to its version again.
+        # An order that is delayed beyond the order timeout still reaches the
+        # engines; reading their state then restores the right version.
         await self.wait_until(
             lambda: any(e.loaded[-1][1] == 1 for e in self.engines_by_name.values())
         )
