--- a/goldcrestmoor/job/job_store.py
+++ b/goldcrestmoor/job/job_store.py
@@ -39,7 +39,7 @@
 RETRY_MAX_MS = 400
 # Zero-padded, so that keys sort numerically, up to a million items.
 POSITION_DIGITS = 6
-# Rows per read: a few hundred kilobytes at most, which also a slow store reads quickly.
+# Rows per read: a few hundred kilobytes at most, quick even from a slow store.
 READ_ROWS = 48
 # Distinguishes the few objects that one job may be stored in.
 DIGEST_BYTES = 8
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -128,9 +128,7 @@
                     raise
         else:
             kind = ErrorKind.OUTCOME_UNKNOWN if is_unknown else ErrorKind.OVERLOADED
-            raise ServiceError(
-                kind, "The version could not be written: its row kept changing."
-            )
+            raise ServiceError(kind, "Writing the version's row failed repeatedly.")
         log.info("Version %d of %s was published by %s.", version, model, account)
         self._apply(model, version, account)
         self._broadcast.broadcast(VersionPublished(model, version, account))
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -80,7 +80,7 @@
         self.assertEqual(choose_engine(loads, 5), "b")
 
     def test_the_longest_items_go_to_the_fastest_engines(self):
-        """A third of the servers is permanently slower; the longest items come first."""
+        """A third of the engines is permanently slower; long items come first."""
         ms_per_event_by_engine = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
         in_flight, order = dict.fromkeys(ms_per_event_by_engine, 0), []
         for _ in range(60):
@@ -194,7 +194,7 @@
 
 class LoadPlanTest(unittest.TestCase):
     def load_rounds(self, held, named, demand=None, slots=1):
-        """Apply planned loads at once until none is left; return their engines by round."""
+        """Apply planned loads until none is left; return their engines by round."""
         rounds = {model: [] for model in named}
         for model, version in named.items():
             while True:
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -229,7 +229,7 @@
         self.assertEqual(most, 2)
 
     async def freeze_one_driver(self, fencing):
-        """Freeze a driver just before it orders version 1; let another host take over."""
+        """Freeze a driver just before it orders version 1; let another take over."""
         self.add_engines(4, fencing)
         old = self.add_host("host-a")
         await self.wait_until(lambda: old.orders.is_updating("lm"))
