--- a/goldcrestmoor/job/engine_choice.py
+++ b/goldcrestmoor/job/engine_choice.py
@@ -53,8 +53,8 @@
         and engine.in_flight < engine.slots
         and not engine.is_blocked
     ]
-    others = [engine for engine in eligible if engine.name not in avoid]
-    candidates = _fastest(others or eligible)
+    preferred = [engine for engine in eligible if engine.name not in avoid]
+    candidates = _fastest(preferred or eligible)
     if not candidates:
         return None
     best = min(candidates, key=_utilization)
--- a/goldcrestmoor/job/item_run.py
+++ b/goldcrestmoor/job/item_run.py
@@ -83,7 +83,7 @@
     :ivar generation: increases when it restarts from its prompt.
     :ivar saved_events: the number of events in the store.
     :ivar started_ms: when its first attempt began.
-    :ivar avoid: the engine of its last unsuccessful attempt.
+    :ivar avoided_engine: the engine of its last unsuccessful attempt.
     :ivar is_moving: whether its attempt is being cancelled, to continue at another
         engine.
     """
@@ -100,7 +100,7 @@
         "saved_events",
         "started_ms",
         "engine",
-        "avoid",
+        "avoided_engine",
         "task",
         "is_moving",
     )
@@ -112,7 +112,7 @@
         self.attempts = 0
         self.started_ms = None
         self.engine = None
-        self.avoid = ""
+        self.avoided_engine = ""
         self.task = None
         self.is_moving = False
         self.generation = 0
--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -133,7 +133,7 @@
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
         """
         self.running_by_id.pop(run.item.id, None)
-        run.avoid, run.engine = run.engine, None
+        run.avoided_engine, run.engine = run.engine, None
         if not self.is_over:
             self.waiting.append(run)
 
--- a/goldcrestmoor/job/job_supervisor.py
+++ b/goldcrestmoor/job/job_supervisor.py
@@ -22,9 +22,9 @@
 # its jobs: the lease, its margin and a claim.
 CUT_OFF_TIMEOUT_MS = 3000
 # Store outages last seconds; the end of one is noticed within a quarter of a second.
-RETRY_MS = 250
+RETRY_DELAY_MS = 250
 # Leases expire without an event that wakes the supervisor.
-TICK_MS = 200
+POLL_INTERVAL_MS = 200
 # How often expired jobs are looked for, and how much longer than configured they stay.
 CLEANUP_INTERVAL_MS = 5000
 
@@ -190,7 +190,7 @@
         """Claim and run jobs until cancelled."""
         while True:
             for job_id, stored in list(self.state_by_job.items()):
-                if self._is_open(stored.state) and self._is_free(job_id):
+                if self._is_open(stored.state) and self._can_start(job_id):
                     self._starting.add(job_id)
                     self._tasks.start(self._claim_and_run(job_id), f"job {job_id}")
             self._reclaim_duties()
@@ -198,7 +198,7 @@
             self._start_cleanup()
             changed = self._changed
             try:
-                async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
+                async with asyncio.timeout(POLL_INTERVAL_MS / MS_PER_SECOND):
                     await changed.wait()
             except TimeoutError:
                 pass
@@ -244,7 +244,7 @@
             await self._duties.claim(runner_duty(model), RUNNER_LEASE_MS)
         except ServiceError as e:
             log.info("Reclaiming the duty to run jobs of %s failed: %s", model, e)
-            await self._clock.sleep_ms(RETRY_MS)
+            await self._clock.sleep_ms(RETRY_DELAY_MS)
         finally:
             self._reclaiming.discard(model)
 
@@ -294,7 +294,7 @@
     def _is_open(self, state):
         return not state.is_ended and state.listed < state.total
 
-    def _is_free(self, job_id):
+    def _can_start(self, job_id):
         return not (
             self._is_leaving
             or self._cut_off_since_ms is not None
@@ -315,7 +315,7 @@
                 await self._run(run)
         except ServiceError as e:
             log.info("Starting job %s failed: %s", job_id, e)
-            await self._clock.sleep_ms(RETRY_MS)
+            await self._clock.sleep_ms(RETRY_DELAY_MS)
         finally:
             self._starting.discard(job_id)
 
--- a/goldcrestmoor/job/scheduler.py
+++ b/goldcrestmoor/job/scheduler.py
@@ -22,7 +22,7 @@
 log = logging.getLogger("goldcrestmoor.scheduler")
 
 # The backoff of an engine expires without an event that wakes the loop.
-TICK_MS = 100
+POLL_INTERVAL_MS = 100
 
 
 class Scheduler:
@@ -109,7 +109,7 @@
         """Start items until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(TICK_MS / 1000):
+                async with asyncio.timeout(POLL_INTERVAL_MS / 1000):
                     await self._wakeup.wait()
             except TimeoutError:
                 pass
@@ -162,7 +162,7 @@
             loads,
             job.min_version,
             job_run.engine_by_group.get(run.group, ""),
-            (run.avoid,),
+            (run.avoided_engine,),
         )
         if name is None:
             loads_by_service[service] = loads
--- a/goldcrestmoor/job/stragglers.py
+++ b/goldcrestmoor/job/stragglers.py
@@ -43,9 +43,9 @@
         return
     median_ms = statistics.median_low(ms_per_event_by_engine.values())
     slow = {
-        name: pace
-        for name, pace in ms_per_event_by_engine.items()
-        if pace > median_ms * SLOW_FACTOR
+        name: event_ms
+        for name, event_ms in ms_per_event_by_engine.items()
+        if event_ms > median_ms * SLOW_FACTOR
     }
     free_slots = sum(free for name, free in free_by_engine.items() if name not in slow)
     gains = [
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -15,7 +15,7 @@
 log = logging.getLogger("goldcrestmoor.orders")
 
 # Retry delays end without an event that wakes the loop.
-TICK_MS = 100
+POLL_INTERVAL_MS = 100
 # A trainer that is late submits its next step right after it sets a target version, and
 # that step should find the engines free.
 STEP_GRACE_MS = 150
@@ -95,7 +95,7 @@
         """Send orders until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
+                async with asyncio.timeout(POLL_INTERVAL_MS / MS_PER_SECOND):
                     await self._wakeup.wait()
             except TimeoutError:
                 pass
@@ -121,10 +121,10 @@
         if version is None or not self._runs_model(model):
             return False
         now_ms = self._clock.now_ms()
-        known = self._target_by_model.get(model)
-        if known is None or known[0] != version:
-            self._target_by_model[model] = known = (version, now_ms)
-        return now_ms - known[1] >= STEP_GRACE_MS
+        target = self._target_by_model.get(model)
+        if target is None or target[0] != version:
+            self._target_by_model[model] = target = (version, now_ms)
+        return now_ms - target[1] >= STEP_GRACE_MS
 
     def _order_model(self, table, service, model):
         version = self._versions.version_by_model[model]
@@ -151,8 +151,10 @@
         is_loading = False
         if pending is not None:
             load, until_ms = pending
-            held = upstream.version_by_model.get(load.model, 0)
-            is_loading = held < load.version and self._clock.now_ms() < until_ms
+            loaded_version = upstream.version_by_model.get(load.model, 0)
+            is_loading = (
+                loaded_version < load.version and self._clock.now_ms() < until_ms
+            )
             if not is_loading:
                 del self._pending_by_engine[upstream.name]
         return EngineWeights(
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -29,25 +29,25 @@
 class _Engine:
     """The state of one engine, as tracked by the updater.
 
-    :param orders_from_ms: the earliest time of the first order.
+    :param first_order_ms: the earliest time of the first order.
     """
 
     __slots__ = (
         "version",
-        "busy",
+        "is_busy",
         "backoff",
-        "retry_ms",
-        "read_ms",
-        "orders_from_ms",
+        "next_order_ms",
+        "next_read_ms",
+        "first_order_ms",
     )
 
-    def __init__(self, orders_from_ms):
+    def __init__(self, first_order_ms):
         self.version = None
-        self.busy = False
+        self.is_busy = False
         self.backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
-        self.retry_ms = 0
-        self.read_ms = 0
-        self.orders_from_ms = orders_from_ms
+        self.next_order_ms = 0
+        self.next_read_ms = 0
+        self.first_order_ms = first_order_ms
 
 
 class WeightUpdater:
@@ -160,12 +160,12 @@
         )
         known = self._engines_by_name
         self._engines_by_name = {
-            u.name: known.get(u.name) or _Engine(self._orders_from_ms(u))
+            u.name: known.get(u.name) or _Engine(self._first_order_ms(u))
             for u in upstreams
         }
         return upstreams
 
-    def _orders_from_ms(self, upstream):
+    def _first_order_ms(self, upstream):
         """Return the earliest time at which an engine may be ordered.
 
         An engine that ignores fencing numbers could carry out a late order of the
@@ -199,18 +199,18 @@
             self._start(self._order(upstream, target), upstream)
 
     def _start(self, coroutine, upstream):
-        self._engines_by_name[upstream.name].busy = True
+        self._engines_by_name[upstream.name].is_busy = True
         self._tasks.start(coroutine, f"engine {upstream.name}")
 
     def _should_read(self, upstream, now_ms):
         engine = self._engines_by_name[upstream.name]
-        return not engine.busy and engine.read_ms <= now_ms
+        return not engine.is_busy and engine.next_read_ms <= now_ms
 
     def _should_order(self, upstream, target, now_ms):
         engine = self._engines_by_name[upstream.name]
-        if not target or engine.busy or engine.version in (None, target):
+        if not target or engine.is_busy or engine.version in (None, target):
             return False
-        return now_ms >= max(engine.retry_ms, engine.orders_from_ms)
+        return now_ms >= max(engine.next_order_ms, engine.first_order_ms)
 
     async def _read_state(self, upstream):
         engine = self._engines_by_name[upstream.name]
@@ -219,12 +219,12 @@
             state = await self._engines.state(upstream, timeout_ms=STATE_TIMEOUT_MS)
         except ServiceError as e:
             log.debug("Reading the state of %s failed: %s.", upstream.name, e)
-            engine.read_ms = self._clock.now_ms() + engine.backoff.next_ms()
+            engine.next_read_ms = self._clock.now_ms() + engine.backoff.next_ms()
             return
         finally:
             self._read_count -= 1
             self._finish(engine)
-        engine.read_ms = self._clock.now_ms() + STATE_READ_INTERVAL_MS
+        engine.next_read_ms = self._clock.now_ms() + STATE_READ_INTERVAL_MS
         version = state.version if state.model == self.model else OTHER_MODEL_VERSION
         if engine.version not in (None, version):
             log.warning("%s runs version %d without an order.", upstream.name, version)
@@ -252,21 +252,21 @@
             self._finish(engine)
 
     def _finish(self, engine):
-        engine.busy = False
+        engine.is_busy = False
         self.wake()
 
     def _on_loaded(self, upstream, engine, target, loaded):
         engine.version = loaded
         now_ms = self._clock.now_ms()
         # The state that the engine reports lags behind its response to the order.
-        engine.read_ms = now_ms + STATE_LAG_MS
+        engine.next_read_ms = now_ms + STATE_LAG_MS
         if loaded == target:
             engine.backoff.reset()
             self._count_order("loaded")
             return
         log.warning("%s stayed at version %d of %s.", upstream.name, loaded, self.model)
         self._count_order("swap_failed")
-        engine.retry_ms = now_ms + engine.backoff.next_ms()
+        engine.next_order_ms = now_ms + engine.backoff.next_ms()
 
     def _on_failure(self, upstream, engine, error):
         kind = getattr(error, "kind", ErrorKind.UPSTREAM_TIMEOUT)
@@ -277,14 +277,14 @@
             # Another host has ordered the engine under a newer lease.
             self._is_superseded = True
             return
-        engine.retry_ms = now_ms + engine.backoff.next_ms()
+        engine.next_order_ms = now_ms + engine.backoff.next_ms()
         if kind is ErrorKind.OVERLOADED:
             # The weight store's limit: its retry delay is observed, and the backoff
             # spreads the retries of orders that were rejected together.
-            engine.retry_ms += error.retry_after_ms
+            engine.next_order_ms += error.retry_after_ms
         else:
             engine.version = None
-            engine.read_ms = now_ms
+            engine.next_read_ms = now_ms
             self._record_unresolved()
 
     def _record_unresolved(self):
