--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "version",
-        "is_busy",
+        "busy",
         "backoff",
         "next_order_ms",
         "next_read_ms",
@@ -43,7 +43,7 @@
 
     def __init__(self, first_order_ms):
         self.version = None
-        self.is_busy = False
+        self.busy = False
         self.backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
         self.next_order_ms = 0
         self.next_read_ms = 0
@@ -199,16 +199,16 @@
             self._start(self._order(upstream, target), upstream)
 
     def _start(self, coroutine, upstream):
-        self._engines_by_name[upstream.name].is_busy = True
+        self._engines_by_name[upstream.name].busy = True
         self._tasks.start(coroutine, f"engine {upstream.name}")
 
     def _should_read(self, upstream, now_ms):
         engine = self._engines_by_name[upstream.name]
-        return not engine.is_busy and engine.next_read_ms <= now_ms
+        return not engine.busy and engine.next_read_ms <= now_ms
 
     def _should_order(self, upstream, target, now_ms):
         engine = self._engines_by_name[upstream.name]
-        if not target or engine.is_busy or engine.version in (None, target):
+        if not target or engine.busy or engine.version in (None, target):
             return False
         return now_ms >= max(engine.next_order_ms, engine.first_order_ms)
 
@@ -252,7 +252,7 @@
             self._finish(engine)
 
     def _finish(self, engine):
-        engine.is_busy = False
+        engine.busy = False
         self.wake()
 
     def _on_loaded(self, upstream, engine, target, loaded):
