--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -328,28 +328,28 @@
     def setUp(self):
         self.readiness = ReadinessMonitor("a")
 
-    def check(self, reaches_store, *views, has_other_zones=True):
-        views = [PeerStatus(zone, hears) for zone, hears in views]
-        return self.readiness.update(reaches_store, views, has_other_zones)
+    def check(self, reaches_store, *statuses, has_other_zones=True):
+        statuses = [PeerStatus(zone, reaches) for zone, reaches in statuses]
+        return self.readiness.update(reaches_store, statuses, has_other_zones)
 
-    def wants(self, reaches_store, *views, has_other_zones=True):
+    def check_twice(self, reaches_store, *statuses, has_other_zones=True):
         """Return the result after two checks with the same input."""
-        self.check(reaches_store, *views, has_other_zones=has_other_zones)
-        return self.check(reaches_store, *views, has_other_zones=has_other_zones)
+        self.check(reaches_store, *statuses, has_other_zones=has_other_zones)
+        return self.check(reaches_store, *statuses, has_other_zones=has_other_zones)
 
     def test_a_host_that_hears_the_store_takes_callers(self):
-        self.assertTrue(self.wants(True))
+        self.assertTrue(self.check_twice(True))
 
     def test_a_zone_that_is_cut_off_sends_its_callers_to_the_others(self):
-        self.assertFalse(self.wants(False, ("a", False), ("a", False)))
-        self.assertFalse(self.wants(False))
+        self.assertFalse(self.check_twice(False, ("a", False), ("a", False)))
+        self.assertFalse(self.check_twice(False))
 
     def test_a_host_that_alone_lost_the_store_sends_its_callers_to_the_rest(self):
-        self.assertFalse(self.wants(False, ("a", True), ("b", True)))
+        self.assertFalse(self.check_twice(False, ("a", True), ("b", True)))
 
     def test_nobody_turns_callers_away_when_the_store_is_away_for_all(self):
-        self.assertTrue(self.wants(False, ("a", False), ("b", False)))
-        self.assertTrue(self.wants(False, ("a", False), has_other_zones=False))
+        self.assertTrue(self.check_twice(False, ("a", False), ("b", False)))
+        self.assertTrue(self.check_twice(False, ("a", False), has_other_zones=False))
 
     def test_one_late_round_of_answers_turns_nobody_away(self):
         """The store is unavailable for all, and this host is busy at times."""
@@ -359,28 +359,28 @@
         self.assertFalse(self.check(False))
 
     def test_callers_are_wanted_again_as_soon_as_the_store_is_heard(self):
-        self.assertFalse(self.wants(False, ("b", True)))
+        self.assertFalse(self.check_twice(False, ("b", True)))
         self.assertTrue(self.check(True))
         self.assertTrue(self.check(False, ("b", True)))
 
 
-class DetourTest(unittest.TestCase):
-    VIEWS = (
+class RelayChoiceTest(unittest.TestCase):
+    STATUSES = (
         PeerStatus("a", False, "10.1.0.1"),
         PeerStatus("b", True, "10.2.0.1"),
         PeerStatus("a", True, "10.1.0.2"),
     )
 
-    def choose(self, views=VIEWS, rejection_age_ms=None):
-        view = choose_relay("a", views, rejection_age_ms)
-        return view and view.address
+    def choose(self, statuses=STATUSES, rejection_age_ms=None):
+        status = choose_relay("a", statuses, rejection_age_ms)
+        return status and status.address
 
     def test_calls_go_by_a_host_of_the_same_zone_that_hears_the_store(self):
         self.assertEqual(self.choose(), "10.1.0.2")
-        self.assertEqual(self.choose(self.VIEWS[:2]), "10.2.0.1")
+        self.assertEqual(self.choose(self.STATUSES[:2]), "10.2.0.1")
 
     def test_there_is_no_way_round_an_outage_for_all(self):
-        self.assertIsNone(self.choose(self.VIEWS[:1]))
+        self.assertIsNone(self.choose(self.STATUSES[:1]))
         self.assertIsNone(self.choose(()))
 
     def test_a_host_that_the_store_turns_away_does_not_go_round_it(self):
@@ -397,7 +397,7 @@
         self.assertTrue(may_order(None, "host-b", 0, 3000))
 
 
-def choice(name, in_flight=0, **fields):
+def candidate(name, in_flight=0, **fields):
     """Return an upstream with six slots."""
     fields = {
         "slots": 6,
@@ -411,28 +411,31 @@
 
 class UpstreamChoiceTest(unittest.TestCase):
     def test_a_quiet_host_keeps_to_the_connection_that_it_has(self):
-        choices = [choice("a", is_local=True), choice("b", has_connection=True)]
+        choices = [candidate("a", is_local=True), candidate("b", has_connection=True)]
         self.assertEqual(choose_upstream(choices), "b")
 
     def test_a_burst_spreads_over_all(self):
         in_flight = dict.fromkeys("abc", 0)
         for _ in range(15):
             choices = [
-                choice(name, count, has_connection=name == "a")
+                candidate(name, count, has_connection=name == "a")
                 for name, count in in_flight.items()
             ]
             in_flight[choose_upstream(choices)] += 1
         self.assertLessEqual(max(in_flight.values()) - min(in_flight.values()), 2)
 
     def test_what_has_just_failed_is_left_alone(self):
-        choices = [choice("a", has_connection=True, has_failed=True), choice("b", 3)]
+        choices = [
+            candidate("a", has_connection=True, has_failed=True),
+            candidate("b", 3),
+        ]
         self.assertEqual(choose_upstream(choices), "b")
 
     def test_no_upstream_is_tried_twice(self):
-        self.assertIsNone(choose_upstream([choice("a")], avoid=("a",)))
+        self.assertIsNone(choose_upstream([candidate("a")], avoid=("a",)))
 
 
-class SendAgainTest(unittest.TestCase):
+class RetryDecisionTest(unittest.TestCase):
     def test_a_lost_answer_of_a_repeatable_request_is_tried_elsewhere(self):
         decision = decide_retry(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 1, 2, 500, True)
         self.assertEqual(decision, SendAgain())
--- a/test/test_job_run.py
+++ b/test/test_job_run.py
@@ -191,8 +191,8 @@
         await asyncio.sleep(0.05)
         self.assertEqual(len(run.running_by_id), 6)
         # One engine becomes slow, so that its items would be moved.
-        for name, pace in (("a", 40), ("b", 400)):
-            self.pool.record_events(self.pool.upstream(name), pace, 1)
+        for name, event_ms in (("a", 40), ("b", 400)):
+            self.pool.record_events(self.pool.upstream(name), event_ms, 1)
         run.stop()
         scheduler.wake()
         await asyncio.sleep(0.25)
