--- a/goldcrestmoor/job/job_run.py
+++ b/goldcrestmoor/job/job_run.py
@@ -1,4 +1,4 @@
-"""One batch job that this process runs: its items, and the results to be listed."""
+"""A batch job that this process runs: its items and its unlisted results."""
 
 import asyncio
 import itertools
@@ -13,30 +13,31 @@
 
 log = logging.getLogger("goldcrestmoor.jobs")
 
-# Results are gathered for so long before they are written, which bounds how often a
-# busy job writes and every host hears of it.
-GATHER_MS = 40
-# The text of an item is first kept when a run of it has cost over a second of a slot,
-# and then as much again is at stake; most items are shorter and never kept.
-KEEP_EVENTS = 30
-# How often that is looked at, which bounds the writes of a job that lists nothing.
-KEEP_CHECK_MS = 700
+# Results are batched for this long before a write, which bounds how often a busy job
+# writes to the store and sends an update to every host.
+BATCH_DELAY_MS = 40
+# The output of an item is stored whenever this many new events have accumulated, over
+# a second of slot time. Most items are shorter and are never stored while they run.
+MIN_UNSAVED_EVENTS = 30
+# How often unsaved events are checked, which bounds the writes of a job without new
+# results.
+SAVE_CHECK_INTERVAL_MS = 700
 
 
 class JobRun:
-    """The items of a job until all are listed, or another process runs it.
+    """Runs the items of a job until all are listed or another process runs the job.
 
     :param job: the :class:`~goldcrestmoor.job.job.Job`.
-    :param kept: its :class:`~goldcrestmoor.job.job_store.KeptState`, with this
-        process as its runner, or with none yet.
+    :param stored: its :class:`~goldcrestmoor.job.job_store.VersionedState`, with this
+        process as its runner, or without a runner.
     :param process_id: this process, by a name that no other has.
-    :param listed_ids: the ids of the items that are listed already.
-    :param partials: what is kept of the others' texts, by position.
+    :param listed_ids: the ids of the items whose results are already listed.
+    :param partials: the stored partial outputs of the other items, by position.
     :param policy: the ``JobPolicy`` of its route.
     :param priority: its route's priority.
     :param clock: the clock.
     :param store: the :class:`~goldcrestmoor.job.job_store.JobStore`.
-    :param on_state: called with each :class:`KeptState` that is written or met.
+    :param on_state: called with each :class:`VersionedState` written or received.
     """
 
     __slots__ = (
@@ -47,7 +48,7 @@
         "waiting",
         "running_by_id",
         "engine_by_group",
-        "_kept",
+        "_stored",
         "_process_id",
         "_clock",
         "_store",
@@ -57,14 +58,14 @@
         "_is_over",
         "_is_handed_over",
         "_has_ended",
-        "_taken_up_ms",
+        "_started_ms",
     )
 
     def __init__(
         self,
         *,
         job,
-        kept,
+        stored,
         process_id,
         listed_ids,
         partials,
@@ -77,7 +78,7 @@
         self.job = job
         self.policy = policy
         self.priority = priority
-        self.due_ms = kept.state.submitted_ms + policy.due_after_ms
+        self.due_ms = stored.state.submitted_ms + policy.due_after_ms
         self.waiting = [
             ItemRun(item, position)
             for position, item in enumerate(job.items)
@@ -87,7 +88,7 @@
             run.resume(partials.get(run.position, ()))
         self.running_by_id = {}
         self.engine_by_group = {}
-        self._kept = kept
+        self._stored = stored
         self._process_id = process_id
         self._clock = clock
         self._store = store
@@ -97,62 +98,62 @@
         self._is_over = False
         self._is_handed_over = False
         self._has_ended = asyncio.Event()
-        self._taken_up_ms = clock.now_ms()
+        self._started_ms = clock.now_ms()
 
     @property
     def is_over(self):
-        """Whether none of its items is to be started any more."""
+        """Whether no more items may be started."""
         return self._is_over or self._is_handed_over
 
     def age_ms(self):
-        """Return for how long this process has run the job."""
-        return self._clock.now_ms() - self._taken_up_ms
+        """Return how long this process has run the job, in milliseconds."""
+        return self._clock.now_ms() - self._started_ms
 
     def next_items(self):
         """Return the waiting items in the order in which to start them."""
         return order_items(self.waiting)
 
     def start(self, run, engine):
-        """Note that an item is being run.
+        """Record that an item has been started at an engine.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
         :param engine: the engine's name.
         """
         self.waiting.remove(run)
         run.engine = engine
-        run.tries += 1
+        run.attempts += 1
         if run.started_ms is None:
             run.started_ms = self._clock.now_ms()
         self.running_by_id[run.item.id] = run
         self.engine_by_group[run.group] = engine
 
-    def put_back(self, run):
-        """Note that an item has to be run again.
+    def requeue(self, run):
+        """Put an item back into the queue after an unsuccessful attempt.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
         """
         self.running_by_id.pop(run.item.id, None)
-        run.avoid, run.engine = run.engine, None
+        run.avoided_engine, run.engine = run.engine, None
         if not self.is_over:
             self.waiting.append(run)
 
     def finish(self, run, is_completed):
-        """Note an item's end, to be listed.
+        """Record the result of an item, to be listed.
 
         :param run: the :class:`~goldcrestmoor.job.item_run.ItemRun`.
-        :param is_completed: whether its text is whole; else it is given up.
+        :param is_completed: whether its output is complete; otherwise it is abandoned.
         """
         self.running_by_id.pop(run.item.id, None)
         if run.started_ms is not None:
             log.info(
-                "Item %s of job %s %s: waited %d ms, then %d ms in %d tries, last at "
-                "%s; %d events, %d tokens expected.",
+                "Item %s of job %s %s: waited %d ms, then %d ms in %d attempts, last "
+                "at %s; %d events, %d tokens expected.",
                 run.item.id,
                 self.job.id,
-                "done" if is_completed else "given up",
-                run.started_ms - self._taken_up_ms,
+                "done" if is_completed else "abandoned",
+                run.started_ms - self._started_ms,
                 self._clock.now_ms() - run.started_ms,
-                run.tries,
+                run.attempts,
                 run.engine,
                 len(run.events),
                 run.expected_tokens,
@@ -163,54 +164,54 @@
         self._has_finished.set()
 
     async def list_results(self):
-        """Write results as they come, until all are listed or the job is over.
+        """Write results until all are listed or the job is over.
 
-        The first write says who runs the job. Its items are not held back for that:
-        two hosts may run an item, and only one of them can list it.
+        The first write records this process as the runner. Items start before it
+        completes: two hosts may run an item, but only one of them can list it.
         """
         try:
-            if not await self._take():
+            if not await self._claim():
                 return
-            while self._kept.state.listed < self._kept.state.total:
+            while self._stored.state.listed < self._stored.state.total:
                 await self._wait_for_results()
                 if self._is_over or not await self._write():
                     return
-                if self._is_handed_over and not self._has_unkept():
-                    log.info("Job %s is left to the next runner.", self.job.id)
+                if self._is_handed_over and not self._has_unsaved():
+                    log.info("Job %s handed over to the next runner.", self.job.id)
                     return
             log.info("All results of job %s are listed.", self.job.id)
         finally:
             self.stop()
             self._has_ended.set()
 
-    async def _take(self):
-        """Write that this process runs the job; tell whether it does."""
-        if self._kept.state.runner == self._process_id:
+    async def _claim(self):
+        """Store this process as the runner; return whether it is, and the job open."""
+        if self._stored.state.runner == self._process_id:
             return True
-        state = msgspec.structs.replace(self._kept.state, runner=self._process_id)
-        kept = await self._store.change(self.job.id, self._kept, state)
-        if not self._is_still_runner(kept):
+        state = msgspec.structs.replace(self._stored.state, runner=self._process_id)
+        stored = await self._store.change(self.job.id, self._stored, state)
+        if not self._is_still_runner(stored):
             return False
-        self._kept = kept
-        self._on_state(self.job.id, kept)
-        return not kept.state.is_ended
+        self._stored = stored
+        self._on_state(self.job.id, stored)
+        return not stored.state.is_ended
 
     def stop(self):
-        """Start nothing more, and stop what is running."""
+        """Start no more items and cancel those that are running."""
         self._is_over = True
         self._has_finished.set()
         self.waiting.clear()
-        self._stop_running()
+        self._cancel_running()
 
     async def hand_over(self):
-        """Stop, once all that was made is kept for the next runner to go on from."""
+        """Stop once all output is stored for the next runner to continue from."""
         self._is_handed_over = True
-        self.waiting += self._stop_running()
+        self.waiting += self._cancel_running()
         self._has_finished.set()
         await self._has_ended.wait()
 
-    def _stop_running(self):
-        """Stop what is running; return it."""
+    def _cancel_running(self):
+        """Cancel the running items and return them."""
         runs = list(self.running_by_id.values())
         self.running_by_id.clear()
         for run in runs:
@@ -218,100 +219,105 @@
                 run.task.cancel()
         return runs
 
-    def _has_unkept(self):
-        return bool(self._finished) or any(self._with_unkept())
+    def _has_unsaved(self):
+        return bool(self._finished) or any(self._with_unsaved())
 
     async def _wait_for_results(self):
         if self._is_handed_over:
             return
-        wait_ms = min(self._keep_left_ms(), KEEP_CHECK_MS)
+        wait_ms = min(self._remaining_ms(), SAVE_CHECK_INTERVAL_MS)
         if wait_ms > 0:
             try:
                 async with asyncio.timeout(wait_ms / 1000):
                     await self._has_finished.wait()
             except TimeoutError:
                 pass
-        if self._keep_left_ms() <= 0:
-            self._give_up()
-        await self._clock.sleep_ms(GATHER_MS)
-
-    def _keep_left_ms(self):
-        kept_until_ms = self._kept.state.submitted_ms + self.policy.expire_after_ms
-        return kept_until_ms - self._store.now_ms()
-
-    def _give_up(self):
-        left = self.waiting + list(self.running_by_id.values())
-        if left:
-            log.warning("Job %s: %d items are given up.", self.job.id, len(left))
+        if self._remaining_ms() <= 0:
+            self._abandon_items()
+        await self._clock.sleep_ms(BATCH_DELAY_MS)
+
+    def _remaining_ms(self):
+        expires_ms = self._stored.state.submitted_ms + self.policy.expire_after_ms
+        return expires_ms - self._store.now_ms()
+
+    def _abandon_items(self):
+        remaining = self.waiting + list(self.running_by_id.values())
+        if remaining:
+            log.warning(
+                "Job %s expired: %d items abandoned.", self.job.id, len(remaining)
+            )
         self.waiting.clear()
-        for run in left:
+        for run in remaining:
             if run.task is not None:
                 run.task.cancel()
             self.finish(run, is_completed=False)
 
     async def _write(self):
-        """Write what has finished; tell whether this process still runs the job."""
-        room = job_store.Room()
+        """Write finished results and partial outputs.
+
+        :return: whether this process is still the runner and the job is open.
+        """
+        budget = job_store.WriteBudget()
         results = list(
-            itertools.takewhile(lambda r: room.take(len(r.text)), self._finished)
+            itertools.takewhile(lambda r: budget.reserve(len(r.text)), self._finished)
         )
-        partials = self._partials(room)
+        partials = self._partials(budget)
         if not results and not partials:
             self._has_finished.clear()
             return True
         state = msgspec.structs.replace(
-            self._kept.state, listed=self._kept.state.listed + len(results)
+            self._stored.state, listed=self._stored.state.listed + len(results)
         )
-        kept = await self._store.change(
-            self.job.id, self._kept, state, results, partials.values()
+        stored = await self._store.change(
+            self.job.id, self._stored, state, results, partials.values()
         )
-        if not self._is_still_runner(kept):
+        if not self._is_still_runner(stored):
             return False
-        if kept.state.listed == state.listed:
+        if stored.state.listed == state.listed:
             for run, partial in partials.items():
                 if run.generation == partial.generation:
-                    run.kept_events = partial.first + len(partial.events)
+                    run.saved_events = partial.first + len(partial.events)
             del self._finished[: len(results)]
             if not self._finished:
                 self._has_finished.clear()
-        self._kept = kept
-        self._on_state(self.job.id, kept)
-        return not kept.state.is_ended
+        self._stored = stored
+        self._on_state(self.job.id, stored)
+        return not stored.state.is_ended
 
-    def _partials(self, room):
-        """Return the partial texts that are long enough to be kept, by run."""
+    def _partials(self, budget):
+        """Return the partial outputs that are due to be stored, by run."""
         partials = {}
-        if not room.has_room:
+        if not budget.has_capacity:
             return partials
-        for run in self._with_unkept():
-            partial = run.unkept()
-            if not room.take(sum(map(len, partial.events))):
+        for run in self._with_unsaved():
+            partial = run.unsaved()
+            if not budget.reserve(sum(map(len, partial.events))):
                 break
             partials[run] = partial
         return partials
 
-    def _with_unkept(self):
-        """Yield the items whose text has grown enough to be kept again."""
-        least = 1 if self._is_handed_over else KEEP_EVENTS
+    def _with_unsaved(self):
+        """Yield the items that have enough unsaved events to be stored."""
+        min_events = 1 if self._is_handed_over else MIN_UNSAVED_EVENTS
         for run in itertools.chain(self.running_by_id.values(), self.waiting):
-            if len(run.events) - run.kept_events >= least:
+            if len(run.events) - run.saved_events >= min_events:
                 yield run
 
-    def _is_still_runner(self, kept):
-        if kept is not None and kept.state.runner == self._process_id:
+    def _is_still_runner(self, stored):
+        if stored is not None and stored.state.runner == self._process_id:
             return True
-        runner = kept.state.runner if kept else "nobody; it is gone"
-        log.warning("Job %s is run by %s now.", self.job.id, runner)
-        if kept is not None:
-            self._on_state(self.job.id, kept)
+        runner = stored.state.runner if stored else "nobody, as it was removed"
+        log.warning("Job %s is now run by %s; stopped here.", self.job.id, runner)
+        if stored is not None:
+            self._on_state(self.job.id, stored)
         return False
 
-    def note_state(self, kept):
-        """Take in what another process has written of the job.
+    def apply_state(self, stored):
+        """Apply a state of the job that another process may have written.
 
-        :param kept: the :class:`~goldcrestmoor.job.job_store.KeptState`.
+        :param stored: the :class:`~goldcrestmoor.job.job_store.VersionedState`.
         """
-        if kept.version <= self._kept.version:
+        if stored.version <= self._stored.version:
             return
-        if kept.state.is_ended or kept.state.runner not in ("", self._process_id):
+        if stored.state.is_ended or stored.state.runner not in ("", self._process_id):
             self.stop()
--- a/goldcrestmoor/job/scheduler.py
+++ b/goldcrestmoor/job/scheduler.py
@@ -1,4 +1,4 @@
-"""Starts the items of all jobs that this process runs, as engines have free slots."""
+"""Starts the items of all jobs that this process runs, as engines free slots."""
 
 import asyncio
 import functools
@@ -15,24 +15,23 @@
     Moved,
     NotRun,
 )
-from goldcrestmoor.job.stragglers import Running, moves
+from goldcrestmoor.job.stragglers import RunningItem, choose_moves
 from goldcrestmoor.util import TaskGroup
 from goldcrestmoor.version.weights.load_plan import Demand
 
 log = logging.getLogger("goldcrestmoor.scheduler")
 
-# Blocks of engines end by themselves, without an event that wakes the loop.
-TICK_MS = 100
+# The backoff of an engine expires without an event that wakes the loop.
+POLL_INTERVAL_MS = 100
 
 
 class Scheduler:
-    """Gives waiting items to engines.
+    """Assigns waiting items to engines.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param pool: the :class:`~goldcrestmoor.job.engine_pool.EnginePool`.
     :param executor: the :class:`~goldcrestmoor.job.item_run.ItemExecutor`.
-    :param routes: gives the ``RouteTable`` in
-        force.
+    :param routes: returns the ``RouteTable`` in effect.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
 
@@ -43,8 +42,8 @@
         "_routes",
         "_metrics",
         "_runs_by_job",
-        "_largest_by_model",
-        "_woken",
+        "_max_items_by_model",
+        "_wakeup",
         "_tasks",
     )
 
@@ -55,21 +54,21 @@
         self._routes = routes
         self._metrics = metrics
         self._runs_by_job = {}
-        self._largest_by_model = {}
-        self._woken = asyncio.Event()
+        self._max_items_by_model = {}
+        self._wakeup = asyncio.Event()
         self._tasks = TaskGroup()
 
     def add(self, job_run):
-        """Start a job's items from now on.
+        """Add a job, whose items are then started.
 
         :param job_run: the :class:`~goldcrestmoor.job.job_run.JobRun`.
         """
         job = job_run.job
         self._runs_by_job[job.id] = job_run
-        if job.model not in self._largest_by_model:
-            self._show_waiting(job.model)
-        largest = self._largest_by_model.get(job.model, 0)
-        self._largest_by_model[job.model] = max(largest, len(job.items))
+        if job.model not in self._max_items_by_model:
+            self._register_waiting_metrics(job.model)
+        largest = self._max_items_by_model.get(job.model, 0)
+        self._max_items_by_model[job.model] = max(largest, len(job.items))
         self.wake()
 
     def remove(self, job_run):
@@ -81,11 +80,11 @@
             del self._runs_by_job[job_run.job.id]
 
     def wake(self):
-        """Look again for engines with free slots."""
-        self._woken.set()
+        """Check again for engines with free slots."""
+        self._wakeup.set()
 
     def demand(self, model):
-        """Return what waits for a model's engines.
+        """Return the demand for a model's engines.
 
         :param model: the model.
         :return: a :class:`~goldcrestmoor.version.weights.load_plan.Demand`.
@@ -96,7 +95,7 @@
             sum(len(run.waiting) for run in waiting),
             max((run.job.min_version for run in waiting), default=0),
             max((run.job.min_version for run in runs), default=0),
-            self._largest_by_model.get(model, 0),
+            self._max_items_by_model.get(model, 0),
         )
 
     def _open_runs(self, model):
@@ -107,19 +106,19 @@
         ]
 
     async def run(self):
-        """Start items for good."""
+        """Start items until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(TICK_MS / 1000):
-                    await self._woken.wait()
+                async with asyncio.timeout(POLL_INTERVAL_MS / 1000):
+                    await self._wakeup.wait()
             except TimeoutError:
                 pass
-            self._woken.clear()
+            self._wakeup.clear()
             self._dispatch()
             self._move_stragglers()
 
-    def _show_waiting(self, model):
-        """Have the metrics tell of a model's waiting items when they are read."""
+    def _register_waiting_metrics(self, model):
+        """Register gauges that count a model's waiting items when metrics are read."""
         self._metrics.items_waiting.labels(model).set_function(
             lambda: self.demand(model).waiting
         )
@@ -131,7 +130,7 @@
         )
 
     async def close(self):
-        """Stop every item."""
+        """Cancel all running items."""
         await self._tasks.close()
 
     def _dispatch(self):
@@ -143,15 +142,15 @@
                 continue
             loads_by_service = {}
             for run in job_run.next_items():
-                if not self._place(job_run, run, table, loads_by_service):
+                if not self._assign_engine(job_run, run, table, loads_by_service):
                     break
 
-    def _place(self, job_run, run, table, loads_by_service):
-        """Start an item; tell whether it is worth trying the ones behind it."""
+    def _assign_engine(self, job_run, run, table, loads_by_service):
+        """Start an item; return whether the items after it may find an engine too."""
         job = job_run.job
         route = table.match(job.host, run.item.path)
         if route is None or route.job is None:
-            log.warning("Item %s has no route any more and is given up.", run.item.id)
+            log.warning("Item %s no longer has a route and is abandoned.", run.item.id)
             job_run.waiting.remove(run)
             job_run.finish(run, is_completed=False)
             return True
@@ -163,7 +162,7 @@
             loads,
             job.min_version,
             job_run.engine_by_group.get(run.group, ""),
-            (run.avoid,),
+            (run.avoided_engine,),
         )
         if name is None:
             loads_by_service[service] = loads
@@ -172,9 +171,9 @@
         self._pool.begin(engine)
         job_run.start(run, name)
         run.task = self._tasks.start(self._attempt(job_run, run, engine, route))
-        # A task that is cancelled before its first turn runs none of its own code.
+        # A task that is cancelled before it first runs executes none of its own code.
         run.task.add_done_callback(
-            functools.partial(self._ended, job_run, run, engine, route)
+            functools.partial(self._on_attempt_done, job_run, run, engine, route)
         )
         return True
 
@@ -182,36 +181,36 @@
         terms = ItemTerms(
             job_run.job.host, job_run.job.min_version, route.job.single_version
         )
-        heard_ms = self._clock.now_ms()
+        last_event_ms = self._clock.now_ms()
 
         def on_events(count):
-            nonlocal heard_ms
+            nonlocal last_event_ms
             now_ms = self._clock.now_ms()
             if count:
-                self._pool.note_events(engine, now_ms - heard_ms, count)
+                self._pool.record_events(engine, now_ms - last_event_ms, count)
             else:
-                self._pool.note_taken(engine)
-            heard_ms = now_ms
+                self._pool.record_accepted(engine)
+            last_event_ms = now_ms
 
         return await self._executor.attempt(run, engine, terms, on_events)
 
-    def _ended(self, job_run, run, engine, route, task):
-        """Settle a try, however it ended."""
+    def _on_attempt_done(self, job_run, run, engine, route, task):
+        """Clean up after an attempt and handle its outcome."""
         self._pool.end(engine)
         run.task = None
         self.wake()
         if run.item.id not in job_run.running_by_id:
-            # The job is over, or left to another runner.
+            # The job is over, or was handed over to another runner.
             return
         if not task.cancelled():
             failure = task.exception()
             outcome = Broken(f"{failure!r}") if failure else task.result()
-            self._settle(job_run, run, engine, route, outcome)
+            self._handle_outcome(job_run, run, engine, route, outcome)
         elif run.is_moving:
-            self._settle(job_run, run, engine, route, Moved())
+            self._handle_outcome(job_run, run, engine, route, Moved())
 
     def _move_stragglers(self):
-        """Take items off engines that are much slower than the others."""
+        """Move items away from engines that are much slower than the others."""
         table = self._routes()
         if table is None:
             return
@@ -220,11 +219,11 @@
             if route is None or job_run.waiting or not job_run.running_by_id:
                 continue
             for share in route.shares:
-                self._move_stragglers_of(job_run, share.service)
+                self._move_stragglers_from(job_run, share.service)
 
-    def _move_stragglers_of(self, job_run, service):
+    def _move_stragglers_from(self, job_run, service):
         running = [
-            Running(run.item.id, run.engine, len(run.events))
+            RunningItem(run.item.id, run.engine, len(run.events))
             for run in job_run.running_by_id.values()
         ]
         free_by_engine = {
@@ -232,12 +231,14 @@
             for load in self._pool.loads(service, job_run.job.model)
             if load.version >= job_run.job.min_version and not load.is_blocked
         }
-        for item_id in moves(running, self._pool.paces(service), free_by_engine):
+        for item_id in choose_moves(
+            running, self._pool.ms_per_event_by_engine(service), free_by_engine
+        ):
             run = job_run.running_by_id[item_id]
             if run.is_moving:
                 continue
             log.info(
-                "Item %s leaves slow engine %s after %d events.",
+                "Item %s moves away from slow engine %s after %d events.",
                 item_id,
                 run.engine,
                 len(run.events),
@@ -245,19 +246,21 @@
             run.is_moving = True
             run.task.cancel()
 
-    def _settle(self, job_run, run, engine, route, outcome):
+    def _handle_outcome(self, job_run, run, engine, route, outcome):
         self._metrics.items.labels(type(outcome).__name__.lower()).inc()
         match outcome:
             case Finished():
                 job_run.finish(run, is_completed=True)
                 return
             case Impossible():
-                log.info("Item %s can never be done, says its engine.", run.item.id)
+                log.info(
+                    "Item %s can never be done, as reported by its engine.", run.item.id
+                )
                 job_run.finish(run, is_completed=False)
                 return
             case Failed():
                 run.failures += 1
-                run.forget_text()
+                run.restart()
                 if run.failures >= route.attempts:
                     log.info("Item %s failed %d times.", run.item.id, run.failures)
                     job_run.finish(run, is_completed=False)
@@ -265,10 +268,10 @@
             case Moved():
                 run.is_moving = False
             case NotRun(reason):
-                self._pool.note_refused(engine)
+                self._pool.record_rejected(engine)
                 log.debug("Item %s not run at %s: %s", run.item.id, engine.name, reason)
             case Broken(reason):
-                self._pool.note_broken(engine)
+                self._pool.record_interrupted(engine)
                 log.info(
                     "Item %s broken off at %s after %d events: %s",
                     run.item.id,
@@ -276,4 +279,4 @@
                     len(run.events),
                     reason,
                 )
-        job_run.put_back(run)
+        job_run.requeue(run)
--- a/goldcrestmoor/version/weights/load_orders.py
+++ b/goldcrestmoor/version/weights/load_orders.py
@@ -1,6 +1,6 @@
-"""Give engines the orders that the plan of loads asks for.
+"""Sends engines the load orders that the load plan requires.
 
-The host that runs a model's jobs orders the model's engines, as it knows what waits.
+The host that runs a model's jobs sends them, because it knows which items wait.
 """
 
 import asyncio
@@ -14,29 +14,28 @@
 
 log = logging.getLogger("goldcrestmoor.orders")
 
-# Pauses end without an event that wakes the loop.
-TICK_MS = 100
-# A trainer that is late asks for its next step right after it names a version, and
+# Retry delays end without an event that wakes the loop.
+POLL_INTERVAL_MS = 100
+# A trainer that is late submits its next step right after it sets a target version, and
 # that step should find the engines free.
 STEP_GRACE_MS = 150
-# An order that was taken shows in the list by then, or is looked at again: a load
-# takes about a second, more when several happen at once, and the list lags.
-SETTLE_MS = 5000
-# A refused engine is asked again after this, so that a busy one is not pressed.
-REFUSED_MS = 600
+# An accepted order that does not show in the directory by then is reconsidered. A load
+# takes about a second, more if several run concurrently, and the directory lags.
+PENDING_TIMEOUT_MS = 5000
+# The delay before an order is retried, so that a busy engine is not overloaded.
+REJECTED_RETRY_MS = 600
 
 
 class LoadOrders:
-    """Order engines to load the named versions of the models that this host runs.
+    """Orders engines to load the target versions of the models that this host runs.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param runs_model: tells whether this host runs a model's jobs now.
-    :param demand: gives the ``Demand`` for a
-        model.
+    :param runs_model: returns whether this host currently runs a model's jobs.
+    :param demand: returns the ``Demand`` for a model.
     :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param versions: the ``TargetVersions``.
-    :param routes: gives the ``RouteTable`` in force.
-    :param engines: reports and orders, such as the adapter's ``EngineControlClient``.
+    :param routes: returns the ``RouteTable`` in effect.
+    :param engines: sends orders and reads reports, such as ``EngineControlClient``.
     :param order_log: the :class:`~goldcrestmoor.version.weights.order_log.OrderLog`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param host_id: this host.
@@ -50,11 +49,11 @@
         "_versions",
         "_routes",
         "_engines",
-        "_log",
+        "_order_log",
         "_metrics",
         "_host_id",
-        "_named_by_model",
-        "_woken",
+        "_target_by_model",
+        "_wakeup",
         "_pending_by_engine",
         "_tasks",
     )
@@ -80,34 +79,34 @@
         self._versions = versions
         self._routes = routes
         self._engines = engines
-        self._log = order_log
+        self._order_log = order_log
         self._metrics = metrics
         self._host_id = host_id
-        self._named_by_model = {}
-        self._woken = asyncio.Event()
+        self._target_by_model = {}
+        self._wakeup = asyncio.Event()
         self._pending_by_engine = {}
         self._tasks = TaskGroup()
 
     def wake(self):
-        """Look again at what is to be ordered."""
-        self._woken.set()
+        """Check again which orders are due."""
+        self._wakeup.set()
 
     async def run(self):
-        """Order for good."""
+        """Send orders until cancelled."""
         while True:
             try:
-                async with asyncio.timeout(TICK_MS / MS_PER_SECOND):
-                    await self._woken.wait()
+                async with asyncio.timeout(POLL_INTERVAL_MS / MS_PER_SECOND):
+                    await self._wakeup.wait()
             except TimeoutError:
                 pass
-            self._woken.clear()
-            self._order()
+            self._wakeup.clear()
+            self._order_loads()
 
     async def close(self):
-        """Stop giving orders."""
+        """Cancel all orders being sent."""
         await self._tasks.close()
 
-    def _order(self):
+    def _order_loads(self):
         table = self._routes()
         if table is None:
             return
@@ -117,61 +116,67 @@
                     self._order_model(table, service, model)
 
     def _is_due(self, model):
-        """Tell whether a model's version has been named long enough to be loaded."""
+        """Return whether a model's target version is old enough to be loaded."""
         version = self._versions.version_by_model.get(model)
         if version is None or not self._runs_model(model):
             return False
         now_ms = self._clock.now_ms()
-        known = self._named_by_model.get(model)
-        if known is None or known[0] != version:
-            self._named_by_model[model] = known = (version, now_ms)
-        return now_ms - known[1] >= STEP_GRACE_MS
+        target = self._target_by_model.get(model)
+        if target is None or target[0] != version:
+            self._target_by_model[model] = target = (version, now_ms)
+        return now_ms - target[1] >= STEP_GRACE_MS
 
     def _order_model(self, table, service, model):
         version = self._versions.version_by_model[model]
-        engines = [self._weights(u) for u in self._directory.usable(service.name)]
+        engines = [
+            self._engine_weights(u) for u in self._directory.usable(service.name)
+        ]
         loads = plan_loads(
             model,
             version,
             engines,
             service.models,
             self._demand(model),
-            self._clock.now_ms() - self._named_by_model[model][1],
+            self._clock.now_ms() - self._target_by_model[model][1],
         )
         for load in loads:
             upstream = self._directory.upstream_by_name[load.engine]
-            self._retry_after(load, SETTLE_MS)
-            self._tasks.start(self._give(upstream, load, _mode(table, service.name)))
+            self._set_pending(load, PENDING_TIMEOUT_MS)
+            self._tasks.start(
+                self._send_order(upstream, load, _load_mode(table, service.name))
+            )
 
-    def _weights(self, upstream):
+    def _engine_weights(self, upstream):
         pending = self._pending_by_engine.get(upstream.name)
         is_loading = False
         if pending is not None:
             load, until_ms = pending
-            held = upstream.version_by_model.get(load.model, 0)
-            is_loading = held < load.version and self._clock.now_ms() < until_ms
+            loaded_version = upstream.version_by_model.get(load.model, 0)
+            is_loading = (
+                loaded_version < load.version and self._clock.now_ms() < until_ms
+            )
             if not is_loading:
                 del self._pending_by_engine[upstream.name]
         return EngineWeights(
             upstream.name, upstream.version_by_model, upstream.slots, is_loading
         )
 
-    async def _give(self, upstream, load, mode):
+    async def _send_order(self, upstream, load, mode):
         try:
             report = await self._engines.report(upstream)
             if report.is_busy:
-                self._retry_after(load, REFUSED_MS)
+                self._set_pending(load, REJECTED_RETRY_MS)
                 return
             if report.version_by_model.get(load.model, 0) >= load.version:
-                # The list will say so too; until then it is not asked again.
+                # The directory will show this soon; until then no order is sent.
                 return
             is_usable = self._directory.is_usable(upstream)
             if not is_usable or not self._runs_model(load.model):
-                self._retry_after(load, 0)
+                self._set_pending(load, 0)
                 return
-            fencing = await self._log.append(upstream.name)
+            fencing = await self._order_log.append(upstream.name)
             if fencing is None:
-                self._retry_after(load, REFUSED_MS)
+                self._set_pending(load, REJECTED_RETRY_MS)
                 return
             answer = await self._engines.load(
                 upstream,
@@ -183,16 +188,16 @@
                 accepted=report.accepted,
             )
         except ServiceError as e:
-            # It may be carried out yet, so it counts as loading until that settles.
+            # It may still be carried out, so the engine counts as loading for now.
             self._metrics.orders.labels(e.code).inc()
             log.info(
-                "%s was asked to load version %d of %s: %s",
+                "Ordering %s to load version %d of %s failed: %s",
                 upstream.name,
                 load.version,
                 load.model,
                 e,
             )
-            self._retry_after(load, REFUSED_MS * 2)
+            self._set_pending(load, REJECTED_RETRY_MS * 2)
             return
         self._metrics.orders.labels(type(answer).__name__.lower()).inc()
         match answer:
@@ -204,16 +209,16 @@
                     load.model,
                 )
             case OrderRefused(reason):
-                log.info("%s refused an order: %s.", upstream.name, reason)
-                self._retry_after(load, REFUSED_MS)
+                log.info("%s rejected a load order: %s.", upstream.name, reason)
+                self._set_pending(load, REJECTED_RETRY_MS)
 
-    def _retry_after(self, load, delay_ms):
+    def _set_pending(self, load, delay_ms):
         until_ms = self._clock.now_ms() + delay_ms
         self._pending_by_engine[load.engine] = (load, until_ms)
 
 
-def _mode(table, service):
-    """Return what becomes of the runs: they may not mix versions on some routes."""
+def _load_mode(table, service):
+    """Return the load mode: ``WAIT`` if a route needs a single version per item."""
     for routes in table.routes_by_host.values():
         for route in routes:
             serves = any(share.service == service for share in route.shares)
--- a/goldcrestmoor/version/weights/published_versions.py
+++ b/goldcrestmoor/version/weights/published_versions.py
@@ -1,4 +1,4 @@
-"""The weight version that each model's engines are to run."""
+"""The published weight version of each model, which its engines should run."""
 
 import asyncio
 import contextlib
@@ -20,17 +20,17 @@
 IDLE_POLL_MS = 15_000
 POLL_JITTER = 0.2
 POLL_BACKOFF_MAX_MS = 10_000
-PUBLISH_TRIES = 5
+PUBLISH_ATTEMPTS = 5
 MAX_MODELS = 1000
 TOKEN_BYTES = 12
 
 
 class VersionRow(msgspec.Struct, frozen=True):
-    """A model's published version as the table service keeps it.
+    """A model's published version as stored in the table service.
 
     :param version: the version.
     :param published_by: the account that published it.
-    :param token: the one attempt that wrote the row.
+    :param token: identifies the publish call that wrote the row.
     """
 
     version: int
@@ -42,7 +42,7 @@
 
 
 class PublishedVersions:
-    """Publishes weight versions and knows the current one of each model.
+    """Publishes weight versions and tracks the current one of each model.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param table: the :class:`~goldcrestmoor.adapters.table.TableClient`.
@@ -60,8 +60,8 @@
         "_versions_by_model",
         "_versions_by_publisher",
         "_callbacks",
-        "_drivers",
-        "_followed",
+        "_fast_poll_count",
+        "_fast_poll_started",
     )
 
     def __init__(self, *, clock, table, links, broadcast, weight_store=None):
@@ -72,19 +72,19 @@
         self._versions_by_model = {}
         self._versions_by_publisher = {}
         self._callbacks = []
-        self._drivers = 0
-        self._followed = asyncio.Event()
+        self._fast_poll_count = 0
+        self._fast_poll_started = asyncio.Event()
         links.register(VersionPublished, self._on_published)
 
     def current(self, model):
-        """Return the newest version of a model that this host knows of, or 0.
+        """Return the newest version of a model known to this host, or 0.
 
         :param model: the model.
         """
         return self._versions_by_model.get(model, 0)
 
     def published_by(self, account, model):
-        """Return the newest version that an account is known to have published, or 0.
+        """Return the newest version known to be published by an account, or 0.
 
         :param account: the account's name.
         :param model: the model.
@@ -92,61 +92,61 @@
         return self._versions_by_publisher.get((account, model), 0)
 
     def on_change(self, callback):
-        """Have a function called with each model whose version has grown.
+        """Register a callback for models whose version has increased.
 
-        :param callback: a function of the model's name.
+        :param callback: called with the model's name.
         """
         self._callbacks.append(callback)
 
     async def publish(self, model, version, account):
-        """Make a version the one that a model's engines are to run.
+        """Publish a version, so that the model's engines load it.
 
-        Publishing the same version again is harmless.
+        Publishing the same version again has no effect.
 
         :param model: the model.
-        :param version: the version; it must be above the current one.
+        :param version: the version, which must be newer than the current one.
         :param account: the publishing account's name.
-        :raises ServiceError: ``NOT_FOUND`` when the weight store lacks it,
-            ``VERSION_CONFLICT`` when it is not above the current one,
+        :raises ServiceError: ``NOT_FOUND`` when the weight store does not have it,
+            ``VERSION_CONFLICT`` when it is not newer than the current one,
             ``PLATFORM_UNAVAILABLE`` when nothing was written and
-            ``OUTCOME_UNKNOWN`` when that cannot be told.
+            ``OUTCOME_UNKNOWN`` when something may have been.
         """
         await self._check_exists(model, version)
         new = VersionRow(version, account, secrets.token_hex(TOKEN_BYTES))
-        unsettled = False
-        for _ in range(PUBLISH_TRIES):
+        is_unknown = False
+        for _ in range(PUBLISH_ATTEMPTS):
             try:
                 if await self._publish_once(model, new):
                     break
             except ServiceError as e:
-                # After one lost answer, the version may have been published.
+                # After a lost response, the version may have been published.
                 if e.kind is ErrorKind.OUTCOME_UNKNOWN:
-                    unsettled = True
-                elif unsettled and e.kind is ErrorKind.PLATFORM_UNAVAILABLE:
+                    is_unknown = True
+                elif is_unknown and e.kind is ErrorKind.PLATFORM_UNAVAILABLE:
                     raise ServiceError(ErrorKind.OUTCOME_UNKNOWN) from e
                 else:
                     raise
         else:
-            kind = ErrorKind.OUTCOME_UNKNOWN if unsettled else ErrorKind.OVERLOADED
-            raise ServiceError(kind, "The version's row would not settle.")
+            kind = ErrorKind.OUTCOME_UNKNOWN if is_unknown else ErrorKind.OVERLOADED
+            raise ServiceError(kind, "Writing the version's row failed repeatedly.")
         log.info("Version %d of %s was published by %s.", version, model, account)
-        self._take(model, version, account)
+        self._apply(model, version, account)
         self._broadcast.broadcast(VersionPublished(model, version, account))
 
     @contextlib.asynccontextmanager
     async def fast_polling(self):
-        """Have the versions read often while the context lasts, and at its start.
+        """Poll the versions at the short interval within the context, and on entry.
 
-        Only the host that orders engines must learn of each version soon when
+        Only the host that orders engines must receive each version quickly even when
         the message about it is lost.
         """
-        self._drivers += 1
+        self._fast_poll_count += 1
         try:
             await self._read()
-            self._followed.set()
+            self._fast_poll_started.set()
             yield
         finally:
-            self._drivers -= 1
+            self._fast_poll_count -= 1
 
     async def run(self):
         """Read the current versions until cancelled."""
@@ -154,29 +154,29 @@
         while True:
             if await self._read():
                 backoff.reset()
-                await self._rest()
+                await self._wait_for_next_poll()
             else:
                 await self._clock.sleep_ms(backoff.next_ms())
 
     async def _read(self):
         try:
             for row in await self._table.scan(TABLE, ""):
-                self._take_row(row)
+                self._apply_row(row)
         except ServiceError as e:
-            log.warning("The versions were not read: %s.", e)
+            log.warning("Reading the published versions failed: %s.", e)
             return False
         return True
 
-    async def _rest(self):
-        interval_ms = POLL_MS if self._drivers else IDLE_POLL_MS
+    async def _wait_for_next_poll(self):
+        interval_ms = POLL_MS if self._fast_poll_count else IDLE_POLL_MS
         interval_ms *= random.uniform(1 - POLL_JITTER, 1)
-        self._followed.clear()
-        rest = asyncio.ensure_future(self._clock.sleep_ms(interval_ms))
-        woken = asyncio.ensure_future(self._followed.wait())
+        self._fast_poll_started.clear()
+        sleep = asyncio.ensure_future(self._clock.sleep_ms(interval_ms))
+        woken = asyncio.ensure_future(self._fast_poll_started.wait())
         try:
-            await asyncio.wait((rest, woken), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((sleep, woken), return_when=asyncio.FIRST_COMPLETED)
         finally:
-            rest.cancel()
+            sleep.cancel()
             woken.cancel()
 
     async def _check_exists(self, model, version):
@@ -185,11 +185,14 @@
         try:
             exists = await self._weight_store.exists(model, version)
         except ServiceError as e:
-            # Engines meet the store's limit themselves and are ordered again.
-            log.warning("The weight store was not asked: %s.", e)
+            # Publish anyway: engines also handle the store's limit, as their orders are
+            # retried.
+            log.warning("Checking for the version in the weight store failed: %s.", e)
             return
         if not exists:
-            raise ServiceError(ErrorKind.NOT_FOUND, "The weight store lacks it.")
+            raise ServiceError(
+                ErrorKind.NOT_FOUND, "The weight store does not have the version."
+            )
 
     async def _publish_once(self, model, new):
         row = await self._table.get(TABLE, model)
@@ -197,21 +200,21 @@
             return True
         check = Check(TABLE, model, row.version if row else 0)
         write = Write(TABLE, model, msgspec.json.encode(new))
-        # A lost answer is settled by the next try, which reads the row back.
+        # After a lost response, the next attempt reads the row to learn the outcome.
         return isinstance(await self._table.transact([check], [write]), Committed)
 
     async def _on_published(self, sender, message):
-        self._take(message.model, message.version, message.account)
+        self._apply(message.model, message.version, message.account)
         self._broadcast.forward(message, message.targets)
 
-    def _take_row(self, row):
+    def _apply_row(self, row):
         try:
             found = _decode(row.value)
-            self._take(row.key, found.version, found.published_by)
+            self._apply(row.key, found.version, found.published_by)
         except ServiceError as e:
-            log.error("The row of %s was not read: %s", row.key, e)
+            log.error("Version row of %s ignored: %s", row.key, e)
 
-    def _take(self, model, version, account):
+    def _apply(self, model, version, account):
         if version > self.published_by(account, model):
             published = self._versions_by_publisher
             if (account, model) in published or len(published) < MAX_MODELS:
@@ -226,9 +229,9 @@
 
 
 def _is_published(known, new):
-    """Tell whether a row already says what is to be published.
+    """Return whether a row already contains the version to publish.
 
-    :raises ServiceError: ``VERSION_CONFLICT`` when it says something else that
+    :raises ServiceError: ``VERSION_CONFLICT`` when it contains a different entry that
         is not older.
     """
     if known.token == new.token:
@@ -237,7 +240,7 @@
     if same:
         return True
     if known.version >= new.version:
-        text = f"Version {known.version} is current already."
+        text = f"The current version is already {known.version}."
         raise ServiceError(ErrorKind.VERSION_CONFLICT, text)
     return False
 
--- a/goldcrestmoor/version/weights/weight_updater.py
+++ b/goldcrestmoor/version/weights/weight_updater.py
@@ -1,4 +1,4 @@
-"""Brings the engines of one model to its current version."""
+"""Makes the engines of one model load its current version."""
 
 import asyncio
 import itertools
@@ -13,52 +13,52 @@
 
 ORDER_TIMEOUT_MS = 10_000
 STATE_TIMEOUT_MS = 2000
-RECHECK_MS = 500
-READ_BACK_MS = 30_000
-READ_BACK_LAG_MS = 2000
-PUBLISH_MIN_MS = 1000
-PUBLISH_MAX_MS = 30_000
-COALESCE_MS = 20
+CHECK_INTERVAL_MS = 500
+STATE_READ_INTERVAL_MS = 30_000
+STATE_LAG_MS = 2000
+BROADCAST_MIN_INTERVAL_MS = 1000
+BROADCAST_MAX_INTERVAL_MS = 30_000
+COALESCE_DELAY_MS = 20
 RETRY_MIN_MS = 500
 RETRY_MAX_MS = 15_000
 MAX_LOADS = 256
 MAX_READS = 64
-OTHER_MODEL = 0
+OTHER_MODEL_VERSION = 0
 
 
 class _Engine:
-    """What the driver knows of one engine.
+    """The state of one engine, as tracked by the updater.
 
-    :param orders_from_ms: when it may be ordered for the first time.
+    :param first_order_ms: the earliest time of the first order.
     """
 
     __slots__ = (
         "version",
         "busy",
         "backoff",
-        "retry_ms",
-        "read_ms",
-        "orders_from_ms",
+        "next_order_ms",
+        "next_read_ms",
+        "first_order_ms",
     )
 
-    def __init__(self, orders_from_ms):
+    def __init__(self, first_order_ms):
         self.version = None
         self.busy = False
         self.backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
-        self.retry_ms = 0
-        self.read_ms = 0
-        self.orders_from_ms = orders_from_ms
+        self.next_order_ms = 0
+        self.next_read_ms = 0
+        self.first_order_ms = first_order_ms
 
 
 class WeightUpdater:
-    """Orders the engines of one model, as the holder of the model's lease.
+    """Orders the engines of one model, while this host holds the model's lease.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param model: the model.
-    :param lease: the :class:`~goldcrestmoor.process.leases.Lease` on it.
-    :param configuration: gives the configuration in force.
+    :param lease: the :class:`~goldcrestmoor.process.leases.Lease` on the model.
+    :param configuration: returns the configuration in effect.
     :param versions: the ``PublishedVersions``.
-    :param engine_versions: where the engines' versions are published.
+    :param engine_versions: broadcasts the engines' versions.
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param strategy: a class of :mod:`goldcrestmoor.version.weights.rollout_strategies`.
@@ -76,13 +76,13 @@
         "_strategy",
         "_started_ms",
         "_engines_by_name",
-        "_reads",
-        "_loads",
-        "_unsettled_until_ms",
-        "_woken",
-        "_refused",
-        "_published",
-        "_published_ms",
+        "_read_count",
+        "_load_count",
+        "_unresolved_until_ms",
+        "_wakeup",
+        "_is_superseded",
+        "_last_broadcast",
+        "_last_broadcast_ms",
         "_tasks",
     )
 
@@ -110,41 +110,43 @@
         self._strategy = strategy
         self._started_ms = clock.now_ms()
         self._engines_by_name = {}
-        self._reads = 0
-        self._loads = 0
-        self._unsettled_until_ms = 0
-        self._woken = asyncio.Event()
-        self._refused = False
-        self._published = None
-        self._published_ms = 0
+        self._read_count = 0
+        self._load_count = 0
+        self._unresolved_until_ms = 0
+        self._wakeup = asyncio.Event()
+        self._is_superseded = False
+        self._last_broadcast = None
+        self._last_broadcast_ms = 0
         self._tasks = TaskGroup()
 
     def wake(self):
-        """Look at once whether there is something to order."""
-        self._woken.set()
+        """Check at once which orders and reads are due."""
+        self._wakeup.set()
 
     def is_settled(self):
-        """Tell whether no order can still take effect at an engine."""
-        return not self._loads and self._clock.now_ms() >= self._unsettled_until_ms
+        """Return whether no order can still be carried out by an engine."""
+        return (
+            not self._load_count and self._clock.now_ms() >= self._unresolved_until_ms
+        )
 
     async def run(self, is_candidate):
         """Order engines while the lease is held.
 
-        :param is_candidate: tells whether this host should still do it.
+        :param is_candidate: returns whether this host should continue.
         """
         try:
-            while self.lease.holds() and not self._refused and is_candidate():
-                self._woken.clear()
+            while self.lease.holds() and not self._is_superseded and is_candidate():
+                self._wakeup.clear()
                 self._start_due(self._upstreams())
-                self._publish()
-                await self._pause()
-            # Whoever comes next must not meet an order that is on its way.
-            while self._loads:
-                self._woken.clear()
-                await self._pause()
+                self._broadcast_versions()
+                await self._wait()
+            # The next holder must not start while an order is in flight.
+            while self._load_count:
+                self._wakeup.clear()
+                await self._wait()
         finally:
-            if self._loads:
-                self._note_unsettled()
+            if self._load_count:
+                self._record_unresolved()
             await self._tasks.close()
 
     def _upstreams(self):
@@ -158,81 +160,82 @@
         )
         known = self._engines_by_name
         self._engines_by_name = {
-            u.name: known.get(u.name) or _Engine(self._orders_from_ms(u))
+            u.name: known.get(u.name) or _Engine(self._first_order_ms(u))
             for u in upstreams
         }
         return upstreams
 
-    def _orders_from_ms(self, upstream):
-        """Return from when on an engine may be ordered.
+    def _first_order_ms(self, upstream):
+        """Return the earliest time at which an engine may be ordered.
 
-        An engine that ignores fencing numbers could take a late order of the
-        holder before. Its lease is over, so its last order ends in time.
+        An engine that ignores fencing numbers could carry out a late order of the
+        previous holder. That holder's lease is over, so its last order ends within
+        the order timeout.
         """
         if upstream.fencing or self.lease.was_released:
             return self._started_ms
         return self._started_ms + ORDER_TIMEOUT_MS
 
-    async def _pause(self):
-        pause = asyncio.ensure_future(self._clock.sleep_ms(RECHECK_MS))
-        woken = asyncio.ensure_future(self._woken.wait())
+    async def _wait(self):
+        pause = asyncio.ensure_future(self._clock.sleep_ms(CHECK_INTERVAL_MS))
+        woken = asyncio.ensure_future(self._wakeup.wait())
         try:
             await asyncio.wait((pause, woken), return_when=asyncio.FIRST_COMPLETED)
         finally:
             pause.cancel()
             woken.cancel()
-        # Many engines answer at about the same time; one look serves them all.
-        await self._clock.sleep_ms(COALESCE_MS)
+        # Many engines respond at about the same time; one check handles them all.
+        await self._clock.sleep_ms(COALESCE_DELAY_MS)
 
     def _start_due(self, upstreams):
         target = self._versions.current(self.model)
         now_ms = self._clock.now_ms()
-        reads = (u for u in upstreams if self._must_read(u, now_ms))
-        for upstream in itertools.islice(reads, MAX_READS - self._reads):
+        reads = (u for u in upstreams if self._should_read(u, now_ms))
+        for upstream in itertools.islice(reads, MAX_READS - self._read_count):
             self._start(self._read_state(upstream), upstream)
         limit = min(MAX_LOADS, max_loads(len(upstreams), self._strategy))
-        orders = (u for u in upstreams if self._must_order(u, target, now_ms))
-        for upstream in itertools.islice(orders, max(0, limit - self._loads)):
+        orders = (u for u in upstreams if self._should_order(u, target, now_ms))
+        for upstream in itertools.islice(orders, max(0, limit - self._load_count)):
             self._start(self._order(upstream, target), upstream)
 
     def _start(self, coroutine, upstream):
         self._engines_by_name[upstream.name].busy = True
-        self._tasks.start(coroutine, f"tend {upstream.name}")
+        self._tasks.start(coroutine, f"engine {upstream.name}")
 
-    def _must_read(self, upstream, now_ms):
+    def _should_read(self, upstream, now_ms):
         engine = self._engines_by_name[upstream.name]
-        return not engine.busy and engine.read_ms <= now_ms
+        return not engine.busy and engine.next_read_ms <= now_ms
 
-    def _must_order(self, upstream, target, now_ms):
+    def _should_order(self, upstream, target, now_ms):
         engine = self._engines_by_name[upstream.name]
         if not target or engine.busy or engine.version in (None, target):
             return False
-        return now_ms >= max(engine.retry_ms, engine.orders_from_ms)
+        return now_ms >= max(engine.next_order_ms, engine.first_order_ms)
 
     async def _read_state(self, upstream):
         engine = self._engines_by_name[upstream.name]
-        self._reads += 1
+        self._read_count += 1
         try:
             state = await self._engines.state(upstream, timeout_ms=STATE_TIMEOUT_MS)
         except ServiceError as e:
-            log.debug("%s told no state: %s.", upstream.name, e)
-            engine.read_ms = self._clock.now_ms() + engine.backoff.next_ms()
+            log.debug("Reading the state of %s failed: %s.", upstream.name, e)
+            engine.next_read_ms = self._clock.now_ms() + engine.backoff.next_ms()
             return
         finally:
-            self._reads -= 1
+            self._read_count -= 1
             self._finish(engine)
-        engine.read_ms = self._clock.now_ms() + READ_BACK_MS
-        version = state.version if state.model == self.model else OTHER_MODEL
+        engine.next_read_ms = self._clock.now_ms() + STATE_READ_INTERVAL_MS
+        version = state.version if state.model == self.model else OTHER_MODEL_VERSION
         if engine.version not in (None, version):
-            log.warning("%s runs version %d unasked.", upstream.name, version)
+            log.warning("%s runs version %d without an order.", upstream.name, version)
         engine.version = version
 
     async def _order(self, upstream, target):
         engine = self._engines_by_name[upstream.name]
-        self._loads += 1
+        self._load_count += 1
         try:
-            # The lease may have lapsed since this task was started.
-            if self.lease.holds() and not self._refused:
+            # The lease may have expired since this task was started.
+            if self.lease.holds() and not self._is_superseded:
                 async with asyncio.timeout(ORDER_TIMEOUT_MS / MS_PER_SECOND):
                     loaded = await self._engines.order(
                         upstream,
@@ -241,59 +244,64 @@
                         fencing=self.lease.fencing,
                         timeout_ms=ORDER_TIMEOUT_MS,
                     )
-                self._note_answer(upstream, engine, target, loaded)
+                self._on_loaded(upstream, engine, target, loaded)
         except (ServiceError, TimeoutError) as e:
-            self._note_failure(upstream, engine, e)
+            self._on_failure(upstream, engine, e)
         finally:
-            self._loads -= 1
+            self._load_count -= 1
             self._finish(engine)
 
     def _finish(self, engine):
         engine.busy = False
         self.wake()
 
-    def _note_answer(self, upstream, engine, target, loaded):
+    def _on_loaded(self, upstream, engine, target, loaded):
         engine.version = loaded
         now_ms = self._clock.now_ms()
-        # What the engine reports lags behind what it answered.
-        engine.read_ms = now_ms + READ_BACK_LAG_MS
+        # The state that the engine reports lags behind its response to the order.
+        engine.next_read_ms = now_ms + STATE_LAG_MS
         if loaded == target:
             engine.backoff.reset()
-            self._count("loaded")
+            self._count_order("loaded")
             return
-        log.warning("%s kept version %d of %s.", upstream.name, loaded, self.model)
-        self._count("swap_failed")
-        engine.retry_ms = now_ms + engine.backoff.next_ms()
+        log.warning("%s stayed at version %d of %s.", upstream.name, loaded, self.model)
+        self._count_order("swap_failed")
+        engine.next_order_ms = now_ms + engine.backoff.next_ms()
 
-    def _note_failure(self, upstream, engine, error):
+    def _on_failure(self, upstream, engine, error):
         kind = getattr(error, "kind", ErrorKind.UPSTREAM_TIMEOUT)
-        log.warning("%s was not ordered: %s.", upstream.name, error)
-        self._count(kind.value)
+        log.warning("Load order to %s failed: %s.", upstream.name, error)
+        self._count_order(kind.value)
         now_ms = self._clock.now_ms()
         if kind is ErrorKind.VERSION_CONFLICT:
-            # Another host has ordered it under a newer lease.
-            self._refused = True
+            # Another host has ordered the engine under a newer lease.
+            self._is_superseded = True
             return
-        engine.retry_ms = now_ms + engine.backoff.next_ms()
+        engine.next_order_ms = now_ms + engine.backoff.next_ms()
         if kind is ErrorKind.OVERLOADED:
-            # The weight store's limit: its time to come back is kept, and the
-            # backoff spreads those that were refused together.
-            engine.retry_ms += error.retry_after_ms
+            # The weight store's limit: its retry delay is observed, and the backoff
+            # spreads the retries of orders that were rejected together.
+            engine.next_order_ms += error.retry_after_ms
         else:
             engine.version = None
-            engine.read_ms = now_ms
-            self._note_unsettled()
+            engine.next_read_ms = now_ms
+            self._record_unresolved()
 
-    def _note_unsettled(self):
-        self._unsettled_until_ms = self._clock.now_ms() + ORDER_TIMEOUT_MS
+    def _record_unresolved(self):
+        self._unresolved_until_ms = self._clock.now_ms() + ORDER_TIMEOUT_MS
 
-    def _count(self, outcome):
+    def _count_order(self, outcome):
         self._metrics.orders.labels(outcome).inc()
 
-    def _publish(self):
+    def _broadcast_versions(self):
         versions = {name: e.version for name, e in self._engines_by_name.items()}
-        age_ms = self._clock.now_ms() - self._published_ms
-        is_due = versions != self._published and age_ms >= PUBLISH_MIN_MS
-        if is_due or age_ms >= PUBLISH_MAX_MS:
-            self._published, self._published_ms = versions, self._clock.now_ms()
+        age_ms = self._clock.now_ms() - self._last_broadcast_ms
+        is_due = (
+            versions != self._last_broadcast and age_ms >= BROADCAST_MIN_INTERVAL_MS
+        )
+        if is_due or age_ms >= BROADCAST_MAX_INTERVAL_MS:
+            self._last_broadcast, self._last_broadcast_ms = (
+                versions,
+                self._clock.now_ms(),
+            )
             self._engine_versions.broadcast(self.model, self.lease.fencing, versions)
--- a/test/test_decisions.py
+++ b/test/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions by themselves, each replaying the load that it answers."""
+"""Decision functions in isolation, each under the workload it is designed for."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 from goldcrestmoor.job.item_run import ItemRun
 from goldcrestmoor.job.job import Item
 from goldcrestmoor.job.runner_choice import claim_delay_ms
-from goldcrestmoor.job.stragglers import Running, moves
+from goldcrestmoor.job.stragglers import RunningItem, choose_moves
 from goldcrestmoor.process.readiness import PeerStatus, ReadinessMonitor
 from goldcrestmoor.process.relay_choice import choose_relay
 from goldcrestmoor.request.retry_decision import (
@@ -23,14 +23,14 @@
     Demand,
     EngineWeights,
     Load,
-    assign,
+    assign_engines,
     plan_loads,
 )
-from goldcrestmoor.version.weights.order_log import OrderEntry, may_follow
+from goldcrestmoor.version.weights.order_log import OrderEntry, may_order
 
 
 def engine(name, in_flight=0, **fields):
-    """Return an engine with twelve slots that holds version 5."""
+    """Return an engine with twelve slots that has loaded version 5."""
     fields = {"slots": 12, "version": 5, **fields}
     return EngineLoad(name=name, in_flight=in_flight, **fields)
 
@@ -42,7 +42,7 @@
         far = [claim_delay_ms(False, False, False, share) for share in shares]
         self.assertEqual(claim_delay_ms(True, False, True, 1.0), 0)
         self.assertGreater(min(near), 0)
-        # A claim is two calls to the store; whoever is farther sees that it was made.
+        # A claim takes two store calls; hosts of other zones see it before their own.
         self.assertGreaterEqual(min(far) - max(near), 50)
 
     def test_hosts_that_are_equally_near_do_not_claim_all_at_once(self):
@@ -51,7 +51,7 @@
         self.assertEqual(len(delays), 11)
 
     def test_when_all_are_restarted_each_runner_goes_on_at_once(self):
-        """Nobody else may take the duty before the old process's lease has lapsed."""
+        """No other host may claim the duty before the old process's lease expires."""
         self.assertEqual(claim_delay_ms(False, True, False, 1.0), 0)
 
 
@@ -80,19 +80,19 @@
         self.assertEqual(choose_engine(loads, 5), "b")
 
     def test_the_longest_items_go_to_the_fastest_engines(self):
-        """A third of the servers is slower for good; items come the longest first."""
-        paces = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
-        in_flight, order = dict.fromkeys(paces, 0), []
+        """A third of the engines is permanently slower; long items come first."""
+        ms_per_event_by_engine = {"a": 40.0, "b": 52.0, "c": 41.0, "d": 52.0, "e": 40.0}
+        in_flight, order = dict.fromkeys(ms_per_event_by_engine, 0), []
         for _ in range(60):
             loads = [
-                engine(name, count, ms_per_event=paces[name])
+                engine(name, count, ms_per_event=ms_per_event_by_engine[name])
                 for name, count in in_flight.items()
             ]
             order.append(choose_engine(loads, 5))
             in_flight[order[-1]] += 1
         self.assertEqual(set(order[:36]), {"a", "c", "e"})
-        self.assertEqual(in_flight, dict.fromkeys(paces, 12))
-        # Those that are alike fill evenly, so that none is full before its time.
+        self.assertEqual(in_flight, dict.fromkeys(ms_per_event_by_engine, 12))
+        # Equally fast engines fill evenly, so that none is full before the others.
         self.assertEqual(len({order[:12].count(name) for name in "ace"}), 1)
 
     def test_an_engine_that_is_not_known_yet_is_tried(self):
@@ -152,34 +152,49 @@
 
 class StragglersTest(unittest.TestCase):
     def running(self, count):
-        return [Running(f"{e}{n}", e, 10) for e in "abc" for n in range(count)]
+        return [RunningItem(f"{e}{n}", e, 10) for e in "abc" for n in range(count)]
 
     def test_the_streams_of_an_engine_that_turned_slow_move(self):
-        paces = {"a": 40.0, "b": 160.0, "c": 42.0}
-        found = set(moves(self.running(3), paces, {"a": 9, "b": 9, "c": 9}))
+        ms_per_event_by_engine = {"a": 40.0, "b": 160.0, "c": 42.0}
+        found = set(
+            choose_moves(
+                self.running(3), ms_per_event_by_engine, {"a": 9, "b": 9, "c": 9}
+            )
+        )
         self.assertEqual(found, {"b0", "b1", "b2"})
 
     def test_no_more_move_than_the_sound_engines_have_room_for(self):
-        paces = {"a": 40.0, "b": 160.0, "c": 42.0}
-        found = list(moves(self.running(8), paces, {"a": 1, "b": 9, "c": 1}))
+        ms_per_event_by_engine = {"a": 40.0, "b": 160.0, "c": 42.0}
+        found = list(
+            choose_moves(
+                self.running(8), ms_per_event_by_engine, {"a": 1, "b": 9, "c": 1}
+            )
+        )
         self.assertEqual(len(found), 2)
 
     def test_engines_of_like_pace_keep_theirs(self):
-        paces = {"a": 40.0, "b": 70.0, "c": 42.0}
-        self.assertEqual(list(moves(self.running(3), paces, {"a": 9, "c": 9})), [])
+        ms_per_event_by_engine = {"a": 40.0, "b": 70.0, "c": 42.0}
+        self.assertEqual(
+            list(
+                choose_moves(self.running(3), ms_per_event_by_engine, {"a": 9, "c": 9})
+            ),
+            [],
+        )
 
     def test_one_engine_alone_is_no_measure(self):
-        self.assertEqual(list(moves(self.running(3), {"a": 160.0}, {"b": 9})), [])
+        self.assertEqual(
+            list(choose_moves(self.running(3), {"a": 160.0}, {"b": 9})), []
+        )
 
 
 def weights(name, is_loading=False, **version_by_model):
-    """Return an engine as the plan of loads sees it."""
+    """Return an engine as input of the load plan."""
     return EngineWeights(name, version_by_model, is_loading=is_loading)
 
 
 class LoadPlanTest(unittest.TestCase):
-    def play(self, held, named, demand=None, slots=1):
-        """Let planned loads end at once; return their engines in rounds by model."""
+    def load_rounds(self, held, named, demand=None, slots=1):
+        """Apply planned loads until none is left; return their engines by round."""
         rounds = {model: [] for model in named}
         for model, version in named.items():
             while True:
@@ -196,7 +211,7 @@
 
     def test_six_engines_follow_one_model_two_at_a_time(self):
         held = {name: {"m": 1} for name in "abcdef"}
-        rounds = self.play(held, {"m": 2})["m"]
+        rounds = self.load_rounds(held, {"m": 2})["m"]
         self.assertEqual([len(engines) for engines in rounds], [2, 2, 2])
         self.assertEqual({name for r in rounds for name in r}, set("abcdef"))
 
@@ -205,7 +220,7 @@
         held = {name: dict.fromkeys(models, 1) for name in "abcdef"}
         parts = []
         for version in range(2, 6):
-            rounds = self.play(held, dict.fromkeys(models, version))
+            rounds = self.load_rounds(held, dict.fromkeys(models, version))
             parts.append({m: sorted(sum(r, [])) for m, r in rounds.items()})
         self.assertEqual([len(part) for part in parts[0].values()], [2, 2, 2])
         self.assertEqual(parts, parts[:1] * 4)
@@ -213,7 +228,7 @@
     def test_the_first_named_model_does_not_take_the_others_engines(self):
         engines = [weights(n, m0=1, m1=1, m2=1) for n in "abcdef"]
         models = ["m0", "m1", "m2"]
-        self.assertEqual(len(assign(engines, models)["m0"]), 2)
+        self.assertEqual(len(assign_engines(engines, models)["m0"]), 2)
 
     def test_engines_that_can_serve_what_waits_are_left_to_it(self):
         engines = [weights(n, m=1) for n in "ab"]
@@ -245,34 +260,34 @@
         self.assertEqual(loads, [Load("c", "m", 4)])
 
     def test_models_share_engines_when_some_are_gone(self):
-        """Steps of 64 items at one engine of twelve slots waited for six seconds."""
+        """Steps of 64 items waited six seconds at a single engine of twelve slots."""
         models = ["m0", "m1", "m2"]
         for count in (3, 4, 5):
             names = "abcdef"[:count]
             engines = [weights(n, m0=1, m1=1, m2=1) for n in names]
-            assigned = assign(engines, models)
+            assigned = assign_engines(engines, models)
             parts = [{engine.name for engine in part} for part in assigned.values()]
             self.assertEqual([len(part) for part in parts], [2, 2, 2], count)
-            # No engine is left out, and none follows one model more than needed.
+            # All engines are assigned, about equally often.
             uses = [sum(name in part for part in parts) for name in names]
             self.assertLessEqual(max(uses) - min(uses), 1, uses)
 
     def test_only_as_many_engines_follow_as_the_steps_have_use_for(self):
-        """Steps of 104 items, two at a time at the most, before 300 engines."""
+        """Steps of 104 items, at most two at a time, with 300 engines."""
         held = {f"engine-{n:03d}": {"m": 1} for n in range(300)}
         demand = Demand(largest_step=104)
         followers = []
         for version in range(2, 6):
-            rounds = self.play(held, {"m": version}, demand, slots=12)["m"]
+            rounds = self.load_rounds(held, {"m": version}, demand, slots=12)["m"]
             followers.append({name for names in rounds for name in names})
         self.assertEqual(len(followers[0]), 18)
         self.assertEqual(followers, followers[:1] * 4)
         del held[min(followers[0])]
-        rounds = self.play(held, {"m": 5}, demand, slots=12)["m"]
+        rounds = self.load_rounds(held, {"m": 5}, demand, slots=12)["m"]
         self.assertEqual([len(names) for names in rounds], [1])
 
     def test_all_engines_come_to_a_version_that_lasts(self):
-        """Weights every six minutes, wanted on all servers in six seconds."""
+        """New weights every six minutes must be on all servers within six seconds."""
         engines = [EngineWeights(f"engine-{n}", {"m": 1}, 12) for n in range(300)]
         demand = Demand(largest_step=104)
         at_once = list(plan_loads("m", 2, engines, ["m"], demand, 4000))
@@ -283,7 +298,7 @@
             for e in engines
         ]
         later = list(plan_loads("m", 2, engines, ["m"], demand, 5000))
-        # Two fifths of them at a time, so that loads do not hold one another up.
+        # Two fifths of the engines at a time, so that loads do not slow one another.
         self.assertEqual(len(later), 120)
 
     def test_a_model_keeps_an_engine_that_it_shares(self):
@@ -291,7 +306,7 @@
         held = {name: dict.fromkeys(models, 1) for name in "abcd"}
         parts = []
         for version in range(2, 6):
-            rounds = self.play(held, dict.fromkeys(models, version))
+            rounds = self.load_rounds(held, dict.fromkeys(models, version))
             parts.append({m: sorted(sum(r, [])) for m, r in rounds.items()})
         self.assertEqual(parts, parts[:1] * 4)
 
@@ -301,10 +316,10 @@
             weights("b", m0=5, m1=1),
             weights("c", m0=1, m1=5),
         ]
-        assigned = assign(engines, ["m0", "m1"])
+        assigned = assign_engines(engines, ["m0", "m1"])
         names = {m: sorted(e.name for e in part) for m, part in assigned.items()}
         self.assertEqual(names["m0"], ["a", "b"])
-        # The engine that follows it already, and one that it shares.
+        # The engine that has loaded it already, and a shared one.
         self.assertIn("c", names["m1"])
         self.assertEqual(len(names["m1"]), 2)
 
@@ -313,59 +328,59 @@
     def setUp(self):
         self.readiness = ReadinessMonitor("a")
 
-    def check(self, reaches_store, *views, has_other_zones=True):
-        views = [PeerStatus(zone, hears) for zone, hears in views]
-        return self.readiness.update(reaches_store, views, has_other_zones)
+    def check(self, reaches_store, *statuses, has_other_zones=True):
+        statuses = [PeerStatus(zone, reaches) for zone, reaches in statuses]
+        return self.readiness.update(reaches_store, statuses, has_other_zones)
 
-    def wants(self, reaches_store, *views, has_other_zones=True):
-        """Return the judgement after two checks that saw the same."""
-        self.check(reaches_store, *views, has_other_zones=has_other_zones)
-        return self.check(reaches_store, *views, has_other_zones=has_other_zones)
+    def check_twice(self, reaches_store, *statuses, has_other_zones=True):
+        """Return the result after two checks with the same input."""
+        self.check(reaches_store, *statuses, has_other_zones=has_other_zones)
+        return self.check(reaches_store, *statuses, has_other_zones=has_other_zones)
 
     def test_a_host_that_hears_the_store_takes_callers(self):
-        self.assertTrue(self.wants(True))
+        self.assertTrue(self.check_twice(True))
 
     def test_a_zone_that_is_cut_off_sends_its_callers_to_the_others(self):
-        self.assertFalse(self.wants(False, ("a", False), ("a", False)))
-        self.assertFalse(self.wants(False))
+        self.assertFalse(self.check_twice(False, ("a", False), ("a", False)))
+        self.assertFalse(self.check_twice(False))
 
     def test_a_host_that_alone_lost_the_store_sends_its_callers_to_the_rest(self):
-        self.assertFalse(self.wants(False, ("a", True), ("b", True)))
+        self.assertFalse(self.check_twice(False, ("a", True), ("b", True)))
 
     def test_nobody_turns_callers_away_when_the_store_is_away_for_all(self):
-        self.assertTrue(self.wants(False, ("a", False), ("b", False)))
-        self.assertTrue(self.wants(False, ("a", False), has_other_zones=False))
+        self.assertTrue(self.check_twice(False, ("a", False), ("b", False)))
+        self.assertTrue(self.check_twice(False, ("a", False), has_other_zones=False))
 
     def test_one_late_round_of_answers_turns_nobody_away(self):
-        """The store is away for all, and this host is busy now and then."""
+        """The store is unavailable for all, and this host is busy at times."""
         for _ in range(3):
             self.assertTrue(self.check(False, ("a", False), ("b", False)))
             self.assertTrue(self.check(False))
         self.assertFalse(self.check(False))
 
     def test_callers_are_wanted_again_as_soon_as_the_store_is_heard(self):
-        self.assertFalse(self.wants(False, ("b", True)))
+        self.assertFalse(self.check_twice(False, ("b", True)))
         self.assertTrue(self.check(True))
         self.assertTrue(self.check(False, ("b", True)))
 
 
-class DetourTest(unittest.TestCase):
-    VIEWS = (
+class RelayChoiceTest(unittest.TestCase):
+    STATUSES = (
         PeerStatus("a", False, "10.1.0.1"),
         PeerStatus("b", True, "10.2.0.1"),
         PeerStatus("a", True, "10.1.0.2"),
     )
 
-    def choose(self, views=VIEWS, rejection_age_ms=None):
-        view = choose_relay("a", views, rejection_age_ms)
-        return view and view.address
+    def choose(self, statuses=STATUSES, rejection_age_ms=None):
+        status = choose_relay("a", statuses, rejection_age_ms)
+        return status and status.address
 
     def test_calls_go_by_a_host_of_the_same_zone_that_hears_the_store(self):
         self.assertEqual(self.choose(), "10.1.0.2")
-        self.assertEqual(self.choose(self.VIEWS[:2]), "10.2.0.1")
+        self.assertEqual(self.choose(self.STATUSES[:2]), "10.2.0.1")
 
     def test_there_is_no_way_round_an_outage_for_all(self):
-        self.assertIsNone(self.choose(self.VIEWS[:1]))
+        self.assertIsNone(self.choose(self.STATUSES[:1]))
         self.assertIsNone(self.choose(()))
 
     def test_a_host_that_the_store_turns_away_does_not_go_round_it(self):
@@ -376,13 +391,13 @@
 class OrderLogTest(unittest.TestCase):
     def test_another_host_waits_until_the_last_order_has_had_its_time(self):
         entry = OrderEntry("host-a", 7, 10_000)
-        self.assertTrue(may_follow(entry, "host-a", 10_001, 3000))
-        self.assertFalse(may_follow(entry, "host-b", 13_000, 3000))
-        self.assertTrue(may_follow(entry, "host-b", 13_500, 3000))
-        self.assertTrue(may_follow(None, "host-b", 0, 3000))
+        self.assertTrue(may_order(entry, "host-a", 10_001, 3000))
+        self.assertFalse(may_order(entry, "host-b", 13_000, 3000))
+        self.assertTrue(may_order(entry, "host-b", 13_500, 3000))
+        self.assertTrue(may_order(None, "host-b", 0, 3000))
 
 
-def choice(name, in_flight=0, **fields):
+def candidate(name, in_flight=0, **fields):
     """Return an upstream with six slots."""
     fields = {
         "slots": 6,
@@ -396,28 +411,31 @@
 
 class UpstreamChoiceTest(unittest.TestCase):
     def test_a_quiet_host_keeps_to_the_connection_that_it_has(self):
-        choices = [choice("a", is_local=True), choice("b", has_connection=True)]
+        choices = [candidate("a", is_local=True), candidate("b", has_connection=True)]
         self.assertEqual(choose_upstream(choices), "b")
 
     def test_a_burst_spreads_over_all(self):
         in_flight = dict.fromkeys("abc", 0)
         for _ in range(15):
             choices = [
-                choice(name, count, has_connection=name == "a")
+                candidate(name, count, has_connection=name == "a")
                 for name, count in in_flight.items()
             ]
             in_flight[choose_upstream(choices)] += 1
         self.assertLessEqual(max(in_flight.values()) - min(in_flight.values()), 2)
 
     def test_what_has_just_failed_is_left_alone(self):
-        choices = [choice("a", has_connection=True, has_failed=True), choice("b", 3)]
+        choices = [
+            candidate("a", has_connection=True, has_failed=True),
+            candidate("b", 3),
+        ]
         self.assertEqual(choose_upstream(choices), "b")
 
     def test_no_upstream_is_tried_twice(self):
-        self.assertIsNone(choose_upstream([choice("a")], avoid=("a",)))
+        self.assertIsNone(choose_upstream([candidate("a")], avoid=("a",)))
 
 
-class SendAgainTest(unittest.TestCase):
+class RetryDecisionTest(unittest.TestCase):
     def test_a_lost_answer_of_a_repeatable_request_is_tried_elsewhere(self):
         decision = decide_retry(Ran.UNKNOWN, RetryPolicy.IDEMPOTENT, 1, 2, 500, True)
         self.assertEqual(decision, SendAgain())
--- a/test/test_job_run.py
+++ b/test/test_job_run.py
@@ -1,4 +1,4 @@
-"""One job's run and the scheduler, against fakes of the store and the engines."""
+"""Running one job with the scheduler, with a fake store and fake engines."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 from goldcrestmoor.job.item_run import Finished
 from goldcrestmoor.job.job import Item, Job, JobState
 from goldcrestmoor.job.job_run import JobRun
-from goldcrestmoor.job.job_store import KeptState
+from goldcrestmoor.job.job_store import VersionedState
 from goldcrestmoor.job.scheduler import Scheduler
 from goldcrestmoor.process.directory import ListedUpstream
 from goldcrestmoor.process.metrics import Metrics
@@ -44,10 +44,10 @@
 
 
 class FakeStore:
-    """Keeps one job's state and takes whatever follows it."""
+    """Stores one job's state; rejects writes based on an older version."""
 
-    def __init__(self, kept):
-        self.kept = kept
+    def __init__(self, stored):
+        self.stored = stored
         self.results = []
         self.partials = []
         self.answers = asyncio.Event()
@@ -56,14 +56,14 @@
     def now_ms(self):
         return 1000
 
-    async def change(self, job_id, kept, state, results=(), partials=()):
+    async def change(self, job_id, stored, state, results=(), partials=()):
         await self.answers.wait()
-        if kept.version != self.kept.version:
-            return self.kept
-        self.kept = KeptState(state, kept.version + 1)
+        if stored.version != self.stored.version:
+            return self.stored
+        self.stored = VersionedState(state, stored.version + 1)
         self.results += results
         self.partials += partials
-        return self.kept
+        return self.stored
 
 
 class FakeDirectory:
@@ -97,13 +97,13 @@
 
 
 def make_run(count, partials=None, runner="me"):
-    """Return a run of some items in the process ``me``, with its store."""
+    """Return a run of some items in the process ``me``, with its fake store."""
     items = tuple(Item(f"i{n}", "/x", {}, b"", group="g") for n in range(count))
-    kept = KeptState(JobState("h", "/x", MODEL, count, 0, runner=runner), 1)
-    store = FakeStore(kept)
+    stored = VersionedState(JobState("h", "/x", MODEL, count, 0, runner=runner), 1)
+    store = FakeStore(stored)
     run = JobRun(
         job=Job("j", "h", "/x", items, MODEL, 1),
-        kept=kept,
+        stored=stored,
         process_id="me",
         listed_ids=set(),
         partials=partials or {},
@@ -111,7 +111,7 @@
         priority=1,
         clock=Clock(),
         store=store,
-        on_state=lambda job_id, kept: None,
+        on_state=lambda job_id, stored: None,
     )
     return run, store
 
@@ -119,7 +119,7 @@
 def ended(run):
     """Return the state that another host writes when it ends the run's job."""
     state = JobState("h", "/x", MODEL, len(run.job.items), 0, runner="me")
-    return KeptState(msgspec.structs.replace(state, is_ended=True), 9)
+    return VersionedState(msgspec.structs.replace(state, is_ended=True), 9)
 
 
 class JobRunTest(unittest.IsolatedAsyncioTestCase):
@@ -138,12 +138,12 @@
         run, _ = make_run(4)
         listing = asyncio.create_task(run.list_results())
         await asyncio.sleep(0)
-        run.note_state(ended(run))
+        run.apply_state(ended(run))
         async with asyncio.timeout(1):
             await listing
 
     async def test_items_start_while_the_store_is_told_who_runs_them(self):
-        """A store that is slow takes a second for it."""
+        """A slow store takes a second to record the runner."""
         scheduler = self.make_scheduler()
         run, store = make_run(4, runner="")
         store.answers.clear()
@@ -155,17 +155,17 @@
         for done in self.executor.running.values():
             done.set_result(None)
         await asyncio.sleep(0.1)
-        self.assertEqual((store.kept.state.runner, store.results), ("", []))
+        self.assertEqual((store.stored.state.runner, store.results), ("", []))
         store.answers.set()
         async with asyncio.timeout(2):
             await listing
-        self.assertEqual((store.kept.state.runner, len(store.results)), ("me", 4))
+        self.assertEqual((store.stored.state.runner, len(store.results)), ("me", 4))
 
     async def test_items_stop_when_another_process_was_first_to_run_the_job(self):
         scheduler = self.make_scheduler()
         run, store = make_run(4, runner="")
-        state = msgspec.structs.replace(store.kept.state, runner="other")
-        store.kept = KeptState(state, 2)
+        state = msgspec.structs.replace(store.stored.state, runner="other")
+        store.stored = VersionedState(state, 2)
         scheduler.add(run)
         running = asyncio.create_task(scheduler.run())
         self.addCleanup(running.cancel)
@@ -176,10 +176,10 @@
         self.assertEqual(store.results, [])
 
     async def test_hearing_of_its_own_first_write_stops_no_run(self):
-        """The feed tells of it before the write is answered."""
+        """The feed reports the write before its response arrives."""
         run, store = make_run(4, runner="")
-        state = msgspec.structs.replace(store.kept.state, runner="me")
-        run.note_state(KeptState(state, 2))
+        state = msgspec.structs.replace(store.stored.state, runner="me")
+        run.apply_state(VersionedState(state, 2))
         self.assertFalse(run.is_over)
 
     async def test_stopped_items_do_not_trouble_the_scheduler(self):
@@ -190,9 +190,9 @@
         self.addCleanup(running.cancel)
         await asyncio.sleep(0.05)
         self.assertEqual(len(run.running_by_id), 6)
-        # One engine has turned slow, so that its items are to be moved.
-        for name, pace in (("a", 40), ("b", 400)):
-            self.pool.note_events(self.pool.upstream(name), pace, 1)
+        # One engine becomes slow, so that its items would be moved.
+        for name, event_ms in (("a", 40), ("b", 400)):
+            self.pool.record_events(self.pool.upstream(name), event_ms, 1)
         run.stop()
         scheduler.wake()
         await asyncio.sleep(0.25)
@@ -203,7 +203,7 @@
         run, _ = make_run(6)
         scheduler.add(run)
         scheduler._dispatch()
-        # Both happen in the turn of the loop in which the tries were started.
+        # Both happen in the event loop iteration that started the attempts.
         moved = next(iter(run.running_by_id.values()))
         moved.is_moving = True
         moved.task.cancel()
@@ -243,11 +243,11 @@
         run, _ = make_run(1)
         item_run = run.waiting[0]
         item_run.add(Event("0", "old", None, b""), 1)
-        kept = [item_run.unkept()]
-        item_run.forget_text()
+        stored = [item_run.unsaved()]
+        item_run.restart()
         item_run.add(Event("0", "new", None, b""), 2)
-        kept.append(item_run.unkept())
-        again, _ = make_run(1, {0: kept})
+        stored.append(item_run.unsaved())
+        again, _ = make_run(1, {0: stored})
         self.assertEqual(again.waiting[0].events, ["new"])
         self.assertEqual(again.waiting[0].versions, [2])
 
@@ -260,7 +260,7 @@
         self.addCleanup(running.cancel)
         listing = asyncio.create_task(run.list_results())
         await _common.eventually(lambda: len(self.executor.running) == 3)
-        # Far fewer events than are kept while the job is run here.
+        # Far fewer events than are saved while the job runs here.
         for number in range(3):
             long.add(Event(str(number), f"e{number}", None, b""), 1)
         self.executor.running[short.item.id].set_result(None)
@@ -288,7 +288,7 @@
         async with asyncio.timeout(2):
             await listing
         self.assertEqual(len(store.results), 6)
-        self.assertEqual(store.kept.version, 2)
+        self.assertEqual(store.stored.version, 2)
 
 
 if __name__ == "__main__":
--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -1,4 +1,4 @@
-"""Engines come to the published version, and never under two holders."""
+"""Engines load the published version, and never under two lease holders."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
 
 
 class FakeEngine:
-    """An engine that loads what it is ordered to, and keeps a record."""
+    """An engine that loads the ordered versions and records each load."""
 
     def __init__(self, clock, fencing):
         self.clock = clock
@@ -63,7 +63,7 @@
 
 
 class FakeEngines:
-    """One host's client to the engines; an order can be held before it is sent."""
+    """One host's engine client; its gate can block an order before it is sent."""
 
     def __init__(self, engines_by_name):
         self.engines_by_name = engines_by_name
@@ -158,12 +158,12 @@
         await self.wait_until(lambda: self.all_run(1))
         for host in hosts:
             host.versions._broadcast = SimpleNamespace(broadcast=lambda message: None)
-        other = next(h for h in self.hosts_by_id if not self.drives(h))
+        other = next(h for h in self.hosts_by_id if not self.updates(h))
         await self.publish(2, other)
         await self.wait_until(lambda: self.all_run(2), SPREAD_MS)
 
-    def drives(self, host_id):
-        return self.hosts_by_id[host_id].orders.is_driving("lm")
+    def updates(self, host_id):
+        return self.hosts_by_id[host_id].orders.is_updating("lm")
 
     async def test_a_published_version_reaches_every_engine_and_host(self):
         self.add_engines(6)
@@ -178,7 +178,7 @@
                 for upstream in upstreams
             )
         )
-        drivers = [host for host in hosts if host.orders.is_driving("lm")]
+        drivers = [host for host in hosts if host.orders.is_updating("lm")]
         self.assertEqual(len(drivers), 1)
 
     async def test_versions_only_grow_and_repeats_are_harmless(self):
@@ -229,10 +229,10 @@
         self.assertEqual(most, 2)
 
     async def freeze_one_driver(self, fencing):
-        """Freeze a driver just before it sends version 1; let another take over."""
+        """Freeze a driver just before it orders version 1; let another take over."""
         self.add_engines(4, fencing)
         old = self.add_host("host-a")
-        await self.wait_until(lambda: old.orders.is_driving("lm"))
+        await self.wait_until(lambda: old.orders.is_updating("lm"))
         old.engines.gate.clear()
         await self.publish(1)
         await self.clock.advance(200)
@@ -240,7 +240,7 @@
         new = self.add_host("host-b")
         frozen_ms = self.clock.now_ms()
         await self.publish(2, "host-b")
-        await self.wait_until(lambda: new.orders.is_driving("lm"))
+        await self.wait_until(lambda: new.orders.is_updating("lm"))
         await self.wait_until(lambda: self.all_run(2))
         first_ms = min(e.loaded[0][0] for e in self.engines_by_name.values())
         old.clock.thawed.set()
@@ -256,8 +256,8 @@
     async def test_a_frozen_driver_wakes_before_engines_that_ignore_fencing(self):
         waited_ms = await self.freeze_one_driver(fencing=False)
         self.assertGreaterEqual(waited_ms, LEASE_MS + ORDER_TIMEOUT_MS)
-        # An order that was held for longer than any order may take slips
-        # through; reading back brings the engine to its version again.
+        # An order that is delayed beyond the order timeout still reaches the
+        # engines; reading their state then restores the right version.
         await self.wait_until(
             lambda: any(e.loaded[-1][1] == 1 for e in self.engines_by_name.values())
         )
@@ -271,7 +271,7 @@
         new = self.add_host("host-b")
         stopping = asyncio.ensure_future(old.orders.stop())
         await self.publish(2, "host-b")
-        await self.wait_until(lambda: new.orders.is_driving("lm"), LEASE_MS)
+        await self.wait_until(lambda: new.orders.is_updating("lm"), LEASE_MS)
         await self.wait_until(lambda: self.all_run(2), ORDER_TIMEOUT_MS)
         await stopping
 
@@ -286,7 +286,7 @@
         stopped_ms = self.clock.now_ms()
         new = self.add_host("host-b")
         engine.lost_answers = 0
-        await self.wait_until(lambda: new.orders.is_driving("lm"))
+        await self.wait_until(lambda: new.orders.is_updating("lm"))
         await self.wait_until(lambda: self.all_run(1))
         self.assertGreater(engine.loaded[0][0], stopped_ms + ORDER_TIMEOUT_MS)
         await stopping
