--- a/goldcrestmoor/request/admission.py
+++ b/goldcrestmoor/request/admission.py
@@ -15,15 +15,15 @@
     Release,
     RenewGrants,
 )
-from goldcrestmoor.request.slots import GRANT_MS, POLL_HOLD_MS
+from goldcrestmoor.request.slots import GRANT_LIFETIME_MS, LONG_POLL_MS
 
 log = logging.getLogger("goldcrestmoor.admission")
 
-RENEW_MS = GRANT_MS // 4
+RENEW_MS = GRANT_LIFETIME_MS // 4
 RENEW_MIN_MS = 1000
-CALL_TIMEOUT_MS = POLL_HOLD_MS + 800
+CALL_TIMEOUT_MS = LONG_POLL_MS + 800
 MAX_UNOWNED_PER_UPSTREAM = 2
-SELF_ADMITTED = ""
+NO_OWNER = ""
 
 
 class Grant:
@@ -67,7 +67,7 @@
         "_owner",
         "_decisions",
         "_grants_by_id",
-        "_unowned_by_upstream",
+        "_unowned_count_by_upstream",
         "_hosts_changed",
     )
 
@@ -82,7 +82,7 @@
         self._owner = owner
         self._decisions = decisions
         self._grants_by_id = {}
-        self._unowned_by_upstream = collections.Counter()
+        self._unowned_count_by_upstream = collections.Counter()
         self._hosts_changed = asyncio.Event()
         if membership is not None:
             membership.on_change(self._hosts_changed.set)
@@ -102,7 +102,7 @@
             await self.renew()
 
     async def acquire(
-        self, account, upstream, cost_tokens, deadline, request_id, others=None
+        self, account, upstream, cost_tokens, deadline, request_id, alternatives=None
     ):
         """Wait for a slot.
 
@@ -114,7 +114,7 @@
         :param cost_tokens: what the request is expected to cost, in tokens.
         :param deadline: when it must have started.
         :param request_id: the request.
-        :param others: gives the upstreams that would do as well, best first.
+        :param alternatives: gives the upstreams that would do as well, best first.
         :return: a :class:`Grant`, to be given back by :meth:`release`.
         :raises ServiceError: ``OVERLOADED``, ``QUEUE_TIMEOUT`` or ``NO_UPSTREAM``;
             the request was not run.
@@ -122,9 +122,11 @@
         grant_id = f"{self._host_id}/{util.new_id()}"
         for owner in self._owners(upstream):
             grant = Grant(grant_id, upstream, account.name, cost_tokens, owner)
-            asking = self._ask(account, grant, deadline, request_id, others)
+            acquiring = self._poll_owner(
+                account, grant, deadline, request_id, alternatives
+            )
             try:
-                grant = await asking
+                grant = await acquiring
             except ServiceError as e:
                 if e.kind != ErrorKind.PEER_UNREACHABLE:
                     raise
@@ -133,7 +135,7 @@
                 continue
             self._grants_by_id[grant.id] = grant
             return grant
-        return self._admit_unowned(account, upstream, cost_tokens, request_id)
+        return self._admit_without_owner(account, upstream, cost_tokens, request_id)
 
     def release(self, grant, used_tokens):
         """Give a slot back; a lost message is made good when the grant lapses.
@@ -141,11 +143,11 @@
         :param grant: the :class:`Grant`.
         :param used_tokens: what the request cost in the end, in tokens.
         """
-        if grant.owner == SELF_ADMITTED:
-            self._unowned_by_upstream[grant.upstream.name] -= 1
+        if grant.owner == NO_OWNER:
+            self._unowned_count_by_upstream[grant.upstream.name] -= 1
             return
         if self._grants_by_id.pop(grant.id, None) is not None:
-            self._tell_released(grant, used_tokens)
+            self._send_release(grant, used_tokens)
 
     async def renew(self):
         """Tell each owner, in one message, which of its grants are still used."""
@@ -177,7 +179,7 @@
         if others:
             yield util.rendezvous(upstream.name, others)
 
-    async def _ask(self, account, grant, deadline, request_id, others):
+    async def _poll_owner(self, account, grant, deadline, request_id, alternatives):
         """Poll an owner until it grants or refuses, and look for an idle slot."""
         tried = {grant.upstream.name}
         try:
@@ -185,37 +187,39 @@
                 message = _acquire_message(account, grant, deadline, request_id)
                 answer = await self._call(grant.owner, message)
                 if isinstance(answer, Granted):
-                    self._note_granted(grant, answer, request_id)
+                    self._record_granted(grant, answer, request_id)
                     return grant
                 if deadline.passed():
                     raise ServiceError(
                         ErrorKind.QUEUE_TIMEOUT, "No slot came free in time."
                     )
-                if others is None:
+                if alternatives is None:
                     continue
-                moved = await self._try_other(
-                    account, grant, deadline, request_id, others, tried
+                moved = await self._try_alternative(
+                    account, grant, deadline, request_id, alternatives, tried
                 )
                 if moved is not None:
-                    self._tell_released(grant, 0)
+                    self._send_release(grant, 0)
                     return moved
         except (ServiceError, asyncio.CancelledError):
             # The owner may have granted all the same, with the answer lost.
-            self._tell_released(grant, 0)
+            self._send_release(grant, 0)
             raise
 
-    async def _try_other(self, account, grant, deadline, request_id, others, tried):
+    async def _try_alternative(
+        self, account, grant, deadline, request_id, alternatives, tried
+    ):
         """Ask one other upstream's owner for an idle slot; return a grant or None."""
-        candidates = list(others())
-        left = [u for u in candidates if u.name not in tried]
-        if not left:
+        candidates = list(alternatives())
+        untried = [u for u in candidates if u.name not in tried]
+        if not untried:
             # Each has been asked once: start over, as slots come free meanwhile.
             tried.clear()
             tried.add(grant.upstream.name)
-            left = [u for u in candidates if u.name not in tried]
-        if not left:
+            untried = [u for u in candidates if u.name not in tried]
+        if not untried:
             return None
-        upstream = left[0]
+        upstream = untried[0]
         tried.add(upstream.name)
         owner = self._ownership.owner_of_upstream(upstream)
         if not owner:
@@ -227,18 +231,18 @@
             answer = await self._call(owner, message)
         except ServiceError as e:
             if e.kind == ErrorKind.PEER_UNREACHABLE:
-                self._tell_released(other, 0)
+                self._send_release(other, 0)
             return None
         except asyncio.CancelledError:
-            self._tell_released(other, 0)
+            self._send_release(other, 0)
             raise
         if not isinstance(answer, Granted):
-            self._tell_released(other, 0)
+            self._send_release(other, 0)
             return None
-        self._note_granted(other, answer, request_id)
+        self._record_granted(other, answer, request_id)
         return other
 
-    def _note_granted(self, grant, answer, request_id):
+    def _record_granted(self, grant, answer, request_id):
         name, waited_ms = grant.upstream.name, answer.queued_ms
         text = f"{grant.owner} granted {name} after {waited_ms} ms."
         self._decisions.record("admission", request_id, text)
@@ -248,22 +252,22 @@
             return await self._owner.on_acquire(owner, message)
         return await self._links.call(owner, message, CALL_TIMEOUT_MS)
 
-    def _tell_released(self, grant, used_tokens):
+    def _send_release(self, grant, used_tokens):
         message = Release(grant.id, grant.upstream.name, used_tokens)
         if grant.owner == self._host_id:
             self._owner.release(message)
         else:
             self._links.send(grant.owner, message)
 
-    def _admit_unowned(self, account, upstream, cost_tokens, request_id):
-        used = self._unowned_by_upstream[upstream.name]
+    def _admit_without_owner(self, account, upstream, cost_tokens, request_id):
+        used = self._unowned_count_by_upstream[upstream.name]
         if used >= MAX_UNOWNED_PER_UPSTREAM:
             text = f"No owner of {upstream.name} can be asked."
             raise ServiceError(ErrorKind.OVERLOADED, text)
-        self._unowned_by_upstream[upstream.name] = used + 1
+        self._unowned_count_by_upstream[upstream.name] = used + 1
         text = f"Admitted to {upstream.name} here, since no owner can be asked."
         self._decisions.record("admission", request_id, text)
-        return Grant(util.new_id(), upstream, account.name, cost_tokens, SELF_ADMITTED)
+        return Grant(util.new_id(), upstream, account.name, cost_tokens, NO_OWNER)
 
 
 def _acquire_message(account, grant, deadline, request_id, may_queue=True):
--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -13,12 +13,12 @@
 )
 from goldcrestmoor.request.fair_queue import WEIGHTED_FAIR, FairQueue
 from goldcrestmoor.request.queue_entry import Entry
-from goldcrestmoor.request.slots import GRANT_MS, Slots
+from goldcrestmoor.request.slots import GRANT_LIFETIME_MS, Slots
 from goldcrestmoor.wire import Done
 
 log = logging.getLogger("goldcrestmoor.admission")
 
-SWEEP_MS = 200
+CLEANUP_INTERVAL_MS = 200
 DEAD = "dead"
 
 
@@ -89,8 +89,8 @@
     async def run(self):
         """Drop what has run out, until cancelled."""
         while True:
-            await self._clock.sleep_ms(SWEEP_MS)
-            self.sweep()
+            await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
+            self.clean_up()
 
     def in_flight(self, upstream):
         """Return how many grants are out for an upstream.
@@ -118,10 +118,10 @@
         """
         with tracing.span("admit", upstream=message.upstream, account=message.account):
             name = message.upstream
-            if not self._takes_work(name):
+            if not self._accepts_requests(name):
                 text = f"{name} takes no new work."
                 raise ServiceError(ErrorKind.NO_UPSTREAM, text)
-            slots = self._slots(name)
+            slots = self._get_slots(name)
             if message.grant_id in slots.holders_by_id:
                 return Granted()
             waiter = slots.waiters_by_id.get(message.grant_id)
@@ -131,10 +131,10 @@
                     raise ServiceError(ErrorKind.OVERLOADED, text)
                 # What starts too late to end in time would cost tokens for nothing.
                 remaining_ms = min(
-                    slots.queue.start_within_ms(message.account, message.remaining_ms),
+                    slots.queue.max_wait_ms(message.account, message.remaining_ms),
                     self._settings.queue_timeout_ms,
                 )
-                entry = self._entry(
+                entry = self._make_entry(
                     message.grant_id,
                     message.account,
                     message.cost_tokens,
@@ -143,9 +143,9 @@
                     message.share,
                 )
                 waiter = slots.enqueue(sender, entry)
-                self._fill(name, slots)
+                self._grant_free_slots(name, slots)
             waiter.polled_ms = self._clock.now_ms()
-            answer = await slots.hold(waiter)
+            answer = await slots.long_poll(waiter)
             if isinstance(answer, Granted):
                 text = f"Granted {name} to {sender} after {answer.queued_ms} ms."
                 self._decisions.record("admission", message.request_id, text)
@@ -171,7 +171,7 @@
         if entry is not None:
             used = max(0, message.used_tokens)
             self._metrics.share_used_tokens.labels(entry.account).inc(used)
-        self._fill(message.upstream, slots)
+        self._grant_free_slots(message.upstream, slots)
 
     async def on_renew(self, sender, message):
         """Keep a host's grants for another while.
@@ -184,25 +184,25 @@
         for held in message.held:
             if held.upstream not in upstreams:
                 continue
-            slots = self._slots(held.upstream)
+            slots = self._get_slots(held.upstream)
             holder = slots.holders_by_id.get(held.grant_id)
             entry = holder.entry if holder else None
             if entry is None:
-                entry = self._entry(
-                    held.grant_id, held.account, held.cost_tokens, GRANT_MS
+                entry = self._make_entry(
+                    held.grant_id, held.account, held.cost_tokens, GRANT_LIFETIME_MS
                 )
-            slots.adopt(sender, entry)
+            slots.add_holder(sender, entry)
         return Done()
 
-    def sweep(self):
+    def clean_up(self):
         """Drop what has lapsed, and answer what can no longer be served."""
         upstreams = self._lease.view().configuration.upstreams_by_name
         for name, slots in list(self._slots_by_upstream.items()):
             slots.drop_lapsed()
-            slots.refuse_expired()
-            if not self._takes_work(name):
-                slots.refuse_all()
-            self._fill(name, slots)
+            slots.reject_expired()
+            if not self._accepts_requests(name):
+                slots.reject_all()
+            self._grant_free_slots(name, slots)
             if slots.idle and name not in upstreams:
                 del self._slots_by_upstream[name]
 
@@ -210,19 +210,19 @@
         """Drop what dead hosts hold."""
         for name, slots in list(self._slots_by_upstream.items()):
             slots.drop_hosts(self._is_dead)
-            self._fill(name, slots)
+            self._grant_free_slots(name, slots)
 
     def _is_dead(self, host):
         record = self._membership.find(host)
         return record is not None and str(record.state) == DEAD
 
-    def _takes_work(self, name):
+    def _accepts_requests(self, name):
         upstream = self._lease.view().configuration.upstreams_by_name.get(name)
         if upstream is None or upstream.draining:
             return False
         return not self._is_leaving(name)
 
-    def _slots(self, name):
+    def _get_slots(self, name):
         if name not in self._slots_by_upstream:
             queue = FairQueue(
                 clock=self._clock,
@@ -239,7 +239,9 @@
         capacity = upstreams[name].slots
         return not slots.waiters_by_id and len(slots.holders_by_id) < capacity
 
-    def _entry(self, grant_id, account, cost_tokens, remaining_ms, kind="", share=1):
+    def _make_entry(
+        self, grant_id, account, cost_tokens, remaining_ms, kind="", share=1
+    ):
         known = self._lease.view().configuration.accounts_by_name.get(account)
         if known is not None:
             # The owner's own configuration goes before what the entry host says.
@@ -248,10 +250,10 @@
         now_ms = self._clock.now_ms()
         return Entry(grant_id, account, kind, share, cost_tokens, deadline, now_ms)
 
-    def _fill(self, name, slots):
-        if self._takes_work(name):
+    def _grant_free_slots(self, name, slots):
+        if self._accepts_requests(name):
             upstreams = self._lease.view().configuration.upstreams_by_name
-            slots.fill(upstreams[name].slots)
+            slots.grant_free_slots(upstreams[name].slots)
         self._metrics.in_flight.labels(name).set(len(slots.holders_by_id))
         self._metrics.queue_length.labels(name).set(len(slots.queue))
-        self._metrics.queue_age_ms.labels(name).set(slots.queue.oldest_ms())
+        self._metrics.queue_age_ms.labels(name).set(slots.queue.oldest_wait_ms())
--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -6,13 +6,13 @@
 from goldcrestmoor import logs
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.apps import AppRequest, forwarded_headers
-from goldcrestmoor.request.authentication import check_pool, check_served
+from goldcrestmoor.request.authentication import check_access, check_pool
 from goldcrestmoor.request.request_parsing import read_deadline
 from goldcrestmoor.version.configuration.document import UpstreamKind
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 KEY_HEADER = b"Idempotency-Key"
-PREFIX = b"/apps/"
+PATH_PREFIX = b"/apps/"
 
 
 class NewKey(msgspec.Struct):
@@ -26,7 +26,7 @@
     lifetime_ms: int
 
 
-async def _nothing():
+async def _empty_body():
     yield b""
 
 
@@ -48,26 +48,28 @@
 
     async def forward(request: Request) -> Response:
         authenticator.account(request.headers)
-        asked = await _read(request)
+        app_request = await _read(request)
         # The body may have taken long to come, so the account is looked up again.
         account = authenticator.account(request.headers)
         configuration = lease.view().configuration
-        check_pool(account, configuration, asked.pool, UpstreamKind.APPLICATION)
+        check_pool(account, configuration, app_request.pool, UpstreamKind.APPLICATION)
         deadline = read_deadline(request, clock, settings.limits.request_timeout_ms)
         request_id = logs.request_id.get()
         key = request.get_first_header(KEY_HEADER)
 
         def check():
-            check_served(lease.view(), account, asked.pool)
+            check_access(lease.view(), account, app_request.pool)
 
         try:
-            if key is None or asked.idempotent:
-                answer = await applications.fetch(asked, deadline, request_id, check)
+            if key is None or app_request.idempotent:
+                answer = await applications.fetch(
+                    app_request, deadline, request_id, check
+                )
             else:
                 answer = await keys.run(
                     account.name,
                     key.decode("latin-1"),
-                    asked,
+                    app_request,
                     deadline,
                     request_id,
                     check,
@@ -76,7 +78,7 @@
             metrics.requests.labels(account.name, e.code).inc()
             raise
         metrics.requests.labels(account.name, "answered").inc()
-        return to_response(answer, asked.method)
+        return to_response(answer, app_request.method)
 
     async def mint(request: Request) -> Response:
         account = authenticator.account(request.headers)
@@ -92,9 +94,9 @@
 async def _read(request):
     # The target is taken as it came: decoding and encoding it could change it.
     raw = request.scope.get("raw_path") or request.scope["path"].encode()
-    if not raw.startswith(PREFIX):
+    if not raw.startswith(PATH_PREFIX):
         raise ServiceError(ErrorKind.BAD_REQUEST, "The path is malformed.")
-    pool, _, path = raw[len(PREFIX) :].partition(b"/")
+    pool, _, path = raw[len(PATH_PREFIX) :].partition(b"/")
     query = request.scope.get("query_string", b"")
     target = b"/" + path + (b"?" + query if query else b"")
     return AppRequest(
@@ -124,7 +126,7 @@
             headers.append((name, value))
     if method == "HEAD" and length is not None:
         # There is no body, but the length that the body would have.
-        content = StreamedContent(content_type, _nothing, length)
+        content = StreamedContent(content_type, _empty_body, length)
         return Response(answer.status, headers, content)
     if not answer.body:
         if content_type is not None:
--- a/goldcrestmoor/request/apps.py
+++ b/goldcrestmoor/request/apps.py
@@ -8,14 +8,14 @@
 from goldcrestmoor.adapters.leaving import STATE_HEADER, says_leaving
 from goldcrestmoor.connection.http_client import end_to_end
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
-from goldcrestmoor.request.failures import most_telling
+from goldcrestmoor.request.failures import error_to_report
 
 log = logging.getLogger("goldcrestmoor.apps")
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 MAX_ATTEMPTS = 3
 # These are for this service alone, or are set anew for the upstream.
-PRIVATE_HEADERS = frozenset(
+STRIPPED_HEADERS = frozenset(
     {
         b"authorization",
         b"content-length",
@@ -70,7 +70,7 @@
     :param headers: ``(name, value)`` byte pairs.
     """
     pairs = end_to_end(headers)
-    return tuple(pair for pair in pairs if pair[0] not in PRIVATE_HEADERS)
+    return tuple(pair for pair in pairs if pair[0] not in STRIPPED_HEADERS)
 
 
 class ApplicationClient:
@@ -146,7 +146,7 @@
                     request.pool, avoid=avoid, may_probe=request.idempotent
                 )
             except ServiceError as e:
-                raise most_telling(failures or [e]) from None
+                raise error_to_report(failures or [e]) from None
             try:
                 # What has cut one connection off silently has often cut off all that
                 # are open, so a further attempt goes on a new one.
@@ -157,7 +157,7 @@
                 failures.append(e)
                 avoid.add(upstream.name)
                 if not self._may_retry(request, failures, deadline):
-                    raise most_telling(failures) from None
+                    raise error_to_report(failures) from None
                 self._metrics.retries.labels(e.code).inc()
                 text = f"Left {upstream.name} for another: {e.message}"
                 self._decisions.record("apps", request_id, text)
@@ -209,10 +209,10 @@
             return False
         return self._budget.try_retry(request.pool)
 
-    def _record(self, upstream, ok, started_ms):
+    def _record(self, upstream, succeeded, started_ms):
         if self._health is not None:
             latency_ms = self._clock.now_ms() - started_ms
-            self._health.record(upstream.name, ok, latency_ms)
+            self._health.record(upstream.name, succeeded, latency_ms)
 
 
 def _headers(request, request_id):
--- a/goldcrestmoor/request/authentication.py
+++ b/goldcrestmoor/request/authentication.py
@@ -63,7 +63,7 @@
     return found
 
 
-def check_served(view, account, pool):
+def check_access(view, account, pool):
     """Raise when an account that was let in earlier may no longer use a pool.
 
     Call it right before an effect: the configuration may have changed while the
--- a/goldcrestmoor/request/claim_sweeper.py
+++ b/goldcrestmoor/request/claim_sweeper.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("goldcrestmoor.keys")
 
-SWEEP_MS = 600_000
+CLEANUP_INTERVAL_MS = 600_000
 RETENTION_MS = 24 * 3_600_000
 ROWS_PER_TRANSACTION = 50
 
@@ -41,7 +41,7 @@
     async def run(self):
         """Sweep from time to time, until cancelled."""
         while True:
-            await self._clock.sleep_ms(SWEEP_MS)
+            await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             hosts = [record.id for record in self._membership.live()]
             if not hosts or util.rendezvous(TABLE, hosts) != self._host_id:
                 continue
@@ -59,9 +59,9 @@
         deleted = 0
         for account in self._lease.view().configuration.accounts_by_name:
             rows = await self._table.scan(TABLE, f"{account}/")
-            old = [row for row in rows if self._is_old(row)]
-            for start in range(0, len(old), ROWS_PER_TRANSACTION):
-                batch = old[start : start + ROWS_PER_TRANSACTION]
+            expired = [row for row in rows if self._is_expired(row)]
+            for start in range(0, len(expired), ROWS_PER_TRANSACTION):
+                batch = expired[start : start + ROWS_PER_TRANSACTION]
                 deleted += await self._delete(batch)
         return deleted
 
@@ -71,7 +71,7 @@
         result = await self._table.transact(checks, writes)
         return 0 if isinstance(result, CheckFailed) else len(rows)
 
-    def _is_old(self, row):
+    def _is_expired(self, row):
         try:
             claim = msgspec.json.decode(row.value, type=Claim)
         except msgspec.MsgspecError:
--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -13,20 +13,20 @@
 from goldcrestmoor.request.key_messages import (
     AskOutcome,
     KeyedAnswer,
-    time_to_answer_ms,
+    reply_timeout_ms,
 )
-from goldcrestmoor.request.outcome_cache import MAX_KEPT_BODY_BYTES, digest_of
+from goldcrestmoor.request.outcome_cache import MAX_CACHED_BODY_BYTES, request_digest
 
 log = logging.getLogger("goldcrestmoor.keys")
 
 TABLE = "claims"
-HOLD_MS = 5000
-SETTLE_BACKOFF_MS = 50
-SETTLE_BACKOFF_MAX_MS = 500
-SETTLE_MS = 3000
+SEND_WINDOW_MS = 5000
+CLAIM_BACKOFF_MS = 50
+CLAIM_BACKOFF_MAX_MS = 500
+CLAIM_RESOLVE_MS = 3000
 WITHDRAW_MS = 60_000
 WITHDRAW_BACKOFF_MAX_MS = 5000
-MAX_WITHDRAWN = 1000
+MAX_WITHDRAWN_CLAIMS = 1000
 KEY_PATTERN = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 RUNNING = "running"
 DONE = "done"
@@ -102,7 +102,7 @@
         self._settings = settings
         self._tasks = util.TaskGroup()
         self._withdrawn_by_key = {}
-        links.register(AskOutcome, self._on_ask)
+        links.register(AskOutcome, self._on_ask_outcome)
 
     async def run(self, account, key, request, deadline, request_id, check=None):
         """Send a request under a caller's key, or return its recorded answer.
@@ -119,7 +119,7 @@
         """
         if not KEY_PATTERN.match(key):
             raise ServiceError(ErrorKind.BAD_REQUEST, "The key is malformed.")
-        digest = digest_of(request)
+        digest = request_digest(request)
         full_key = f"{account}/{key}"
         outcome = self._memory.find(full_key, digest)
         if outcome is None:
@@ -140,21 +140,21 @@
     async def _claim_and_send(
         self, key, digest, request, deadline, request_id, check_account
     ):
-        own = Claim(
+        own_claim = Claim(
             util.new_id(),
             self._host_id,
             self._incarnation,
             digest,
             self._clock.wall_ms(),
         )
-        hold = Deadline.after(self._clock, HOLD_MS)
-        claim, version = await self._claim(key, own, deadline)
-        if claim.token != own.token:
-            return await self._outcome_of(key, claim, digest, deadline)
+        send_window = Deadline.after(self._clock, SEND_WINDOW_MS)
+        claim, version = await self._claim(key, own_claim, deadline)
+        if claim.token != own_claim.token:
+            return await self._existing_outcome(key, claim, digest, deadline)
 
         def check():
             # The clock also runs while the process is frozen.
-            if hold.passed():
+            if send_window.passed():
                 text = "The claim ran out before the request was sent."
                 raise ServiceError(ErrorKind.QUEUE_TIMEOUT, text)
             if check_account is not None:
@@ -166,46 +166,50 @@
             )
         except ServiceError as e:
             state = None if e.answer.ran == Ran.NOT_RUN else UNKNOWN
-            self._record(key, version, own, state)
+            self._record(key, version, own_claim, state)
             raise
-        self._record(key, version, own, DONE, answer)
+        self._record(key, version, own_claim, DONE, answer)
         return answer
 
-    async def _claim(self, key, own, deadline):
+    async def _claim(self, key, own_claim, deadline):
         """Write the claim, or find whose it is.
 
         :return: the row's :class:`Claim` and its version.
         """
-        backoff = util.Backoff(SETTLE_BACKOFF_MS, SETTLE_BACKOFF_MAX_MS)
-        settled = Deadline.after(self._clock, min(SETTLE_MS, deadline.remaining_ms()))
+        backoff = util.Backoff(CLAIM_BACKOFF_MS, CLAIM_BACKOFF_MAX_MS)
+        resolve_deadline = Deadline.after(
+            self._clock, min(CLAIM_RESOLVE_MS, deadline.remaining_ms())
+        )
         checks = [Check(TABLE, key, 0)]
-        writes = [Write(TABLE, key, msgspec.json.encode(own))]
-        while not settled.passed():
+        writes = [Write(TABLE, key, msgspec.json.encode(own_claim))]
+        while not resolve_deadline.passed():
             try:
                 result = await self._table.transact(checks, writes)
             except ServiceError as e:
                 if e.kind != ErrorKind.OUTCOME_UNKNOWN:
-                    raise _unavailable() from e
+                    raise _platform_unavailable() from e
                 # The write may have taken effect, or may still do so. Writing the
                 # same claim again settles it: a row with this token is this claim.
                 await self._clock.sleep_ms(backoff.next_ms())
                 continue
             if not isinstance(result, CheckFailed):
-                return own, result.version_by_key[f"{TABLE}/{key}"]
+                return own_claim, result.version_by_key[f"{TABLE}/{key}"]
             if result.row is not None:
                 claim = msgspec.json.decode(result.row.value, type=Claim)
                 return claim, result.row.version
-        self._withdraw(key, own)
-        raise _unavailable()
+        self._withdraw(key, own_claim)
+        raise _platform_unavailable()
 
-    def _withdraw(self, key, own):
+    def _withdraw(self, key, own_claim):
         """Give up a claim that may have been written: nothing is sent under it."""
-        if len(self._withdrawn_by_key) < MAX_WITHDRAWN:
-            self._withdrawn_by_key[key] = own.token
-            self._tasks.start(self._delete(key, own.token), name="claim withdrawal")
+        if len(self._withdrawn_by_key) < MAX_WITHDRAWN_CLAIMS:
+            self._withdrawn_by_key[key] = own_claim.token
+            self._tasks.start(
+                self._delete(key, own_claim.token), name="claim withdrawal"
+            )
 
     async def _delete(self, key, token):
-        backoff = util.Backoff(SETTLE_BACKOFF_MS, WITHDRAW_BACKOFF_MAX_MS)
+        backoff = util.Backoff(CLAIM_BACKOFF_MS, WITHDRAW_BACKOFF_MAX_MS)
         deadline = Deadline.after(self._clock, WITHDRAW_MS)
         try:
             while not deadline.passed():
@@ -225,7 +229,7 @@
             if self._withdrawn_by_key.get(key) == token:
                 del self._withdrawn_by_key[key]
 
-    async def _outcome_of(self, key, claim, digest, deadline):
+    async def _existing_outcome(self, key, claim, digest, deadline):
         """Return what came of a request that another claim stands for."""
         if claim.digest != digest:
             text = "The key was used with another request."
@@ -236,11 +240,11 @@
                 raise ServiceError(ErrorKind.ANSWER_NOT_KEPT, text)
             return claim.answer
         if claim.token == self._withdrawn_by_key.get(key):
-            raise _unavailable()
+            raise _platform_unavailable()
         # What a former run of this host did is not known here: asking this host
         # would wait for the very request that asks.
         if claim.state == UNKNOWN or claim.host == self._host_id:
-            raise _unknown("It may have run.")
+            raise _outcome_unknown("It may have run.")
         account, _, caller_key = key.partition("/")
         message = AskOutcome(account, caller_key, digest, deadline.remaining_ms())
         try:
@@ -250,29 +254,29 @@
         except ServiceError as e:
             if e.kind != ErrorKind.PEER_UNREACHABLE:
                 raise
-            raise _unknown("The host that sent it does not answer.") from e
+            raise _outcome_unknown("The host that sent it does not answer.") from e
         return answer.answer
 
-    async def _on_ask(self, sender, message):
+    async def _on_ask_outcome(self, sender, message):
         key = f"{message.account}/{message.key}"
         outcome = self._memory.find(key, message.digest)
         if outcome is None and key in self._withdrawn_by_key:
-            raise _unavailable()
+            raise _platform_unavailable()
         if outcome is None:
-            raise _unknown("This host does not remember the request.")
-        remaining_ms = time_to_answer_ms(message.remaining_ms)
+            raise _outcome_unknown("This host does not remember the request.")
+        remaining_ms = reply_timeout_ms(message.remaining_ms)
         deadline = Deadline.after(self._clock, remaining_ms)
         return KeyedAnswer(await self._memory.wait(outcome, deadline))
 
-    def _record(self, key, version, own, state, answer=None):
+    def _record(self, key, version, own_claim, state, answer=None):
         """Write the outcome in the background; a claim that was not used is freed."""
         value = None
         if state is not None:
-            kept = answer
-            if answer is not None and len(answer.body) > MAX_KEPT_BODY_BYTES:
-                kept = None
+            stored_answer = answer
+            if answer is not None and len(answer.body) > MAX_CACHED_BODY_BYTES:
+                stored_answer = None
             value = msgspec.json.encode(
-                msgspec.structs.replace(own, state=state, answer=kept)
+                msgspec.structs.replace(own_claim, state=state, answer=stored_answer)
             )
         write = self._write_outcome(key, version, value)
         self._tasks.start(write, name="claim outcome")
@@ -286,10 +290,10 @@
             log.info("The outcome of a claim was not written: %s", e)
 
 
-def _unavailable():
+def _platform_unavailable():
     text = "No claim could be written. Use a key of POST /v1/keys meanwhile."
     return ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, text)
 
 
-def _unknown(text):
+def _outcome_unknown(text):
     return ServiceError(ErrorKind.OUTCOME_UNKNOWN, f"{text} It will not be sent.")
--- a/goldcrestmoor/request/completion_format.py
+++ b/goldcrestmoor/request/completion_format.py
@@ -65,7 +65,7 @@
     error: errors.ErrorBody
 
 
-def whole_answer(request_id, model, chunks):
+def complete_response(request_id, model, chunks):
     """Return the whole answer that pieces make up, as JSON bytes.
 
     :param request_id: the request.
--- a/goldcrestmoor/request/completion_routes.py
+++ b/goldcrestmoor/request/completion_routes.py
@@ -11,9 +11,9 @@
 from goldcrestmoor.request.completion_format import (
     DONE_EVENT,
     CompletionRequest,
+    complete_response,
     error_event,
     event,
-    whole_answer,
 )
 from goldcrestmoor.request.request_parsing import read_deadline, read_json
 from goldcrestmoor.version.configuration.document import UpstreamKind
@@ -39,7 +39,7 @@
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     """
 
-    async def counted(chunks, account):
+    async def count_outcome(chunks, account):
         """Pass pieces on, and count how the completion ended."""
         outcome = "given_up"
         try:
@@ -55,36 +55,38 @@
 
     async def complete(request: Request) -> Response:
         authenticator.account(request.headers)
-        asked = await read_json(request, CompletionRequest)
+        completion_request = await read_json(request, CompletionRequest)
         # The body may have taken long to come, so the account is looked up again.
         account = authenticator.account(request.headers)
-        if not 0 < asked.max_tokens <= MAX_TOKENS:
+        if not 0 < completion_request.max_tokens <= MAX_TOKENS:
             raise ServiceError(ErrorKind.BAD_REQUEST, "max_tokens is out of range.")
         configuration = lease.view().configuration
-        check_pool(account, configuration, asked.model, UpstreamKind.ENGINE)
+        check_pool(
+            account, configuration, completion_request.model, UpstreamKind.ENGINE
+        )
         request_id = logs.request_id.get()
         chunks = completions.generate(
             account=account,
-            pool=asked.model,
-            prompt=asked.prompt,
-            max_tokens=asked.max_tokens,
-            seed=asked.seed,
+            pool=completion_request.model,
+            prompt=completion_request.prompt,
+            max_tokens=completion_request.max_tokens,
+            seed=completion_request.seed,
             deadline=read_deadline(request, clock, settings.request_timeout_ms),
             request_id=request_id,
-            prefix_key=asked.prompt[:MAX_PREFIX_CHARACTERS],
+            prefix_key=completion_request.prompt[:MAX_PREFIX_CHARACTERS],
         )
-        chunks = counted(chunks, account)
-        if asked.stream:
-            return await _streamed(chunks, request_id, asked.model)
+        chunks = count_outcome(chunks, account)
+        if completion_request.stream:
+            return await _stream_response(chunks, request_id, completion_request.model)
         async with contextlib.aclosing(chunks):
-            made = [chunk async for chunk in chunks]
-        body = whole_answer(request_id, asked.model, made)
+            collected = [chunk async for chunk in chunks]
+        body = complete_response(request_id, completion_request.model, collected)
         return Response(200, None, Content(b"application/json", body))
 
     app.router.add_post("/v1/completions", complete)
 
 
-async def _streamed(chunks, request_id, model):
+async def _stream_response(chunks, request_id, model):
     # An error before the first piece still gets a status of its own.
     first = await anext(chunks, None)
 
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -5,28 +5,28 @@
 
 from goldcrestmoor import util
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.request.authentication import check_served
-from goldcrestmoor.request.failures import most_telling
+from goldcrestmoor.request.authentication import check_access
+from goldcrestmoor.request.failures import error_to_report
 from goldcrestmoor.request.token_chunk import TokenChunk
 
 log = logging.getLogger("goldcrestmoor.completions")
 
 CHARACTERS_PER_TOKEN = 4
 MAX_FAILURES = 4
-MAX_REFUSALS = 3
+MAX_REJECTIONS = 3
 CANCEL_TIMEOUT_MS = 2000
 FINISH_LENGTH = "length"
-MOVABLE = frozenset(
+FAILOVER_ERRORS = frozenset(
     {
         ErrorKind.UPSTREAM_UNREACHABLE,
         ErrorKind.UPSTREAM_FAILED,
         ErrorKind.UPSTREAM_TIMEOUT,
     }
 )
-NOT_SERVED = frozenset(
+ACCESS_ERRORS = frozenset(
     {ErrorKind.UNAUTHORIZED, ErrorKind.CONFIG_LAPSED, ErrorKind.FORBIDDEN}
 )
-REFUSALS = frozenset({ErrorKind.NO_UPSTREAM, ErrorKind.OVERLOADED})
+REJECTION_ERRORS = frozenset({ErrorKind.NO_UPSTREAM, ErrorKind.OVERLOADED})
 
 
 class _Progress:
@@ -34,7 +34,7 @@
 
     __slots__ = ("text", "tokens_left", "version", "upstream", "finished", "avoid") + (
         "failures",
-        "refusals",
+        "rejections",
     )
 
     def __init__(self, text, tokens_left, avoid):
@@ -45,7 +45,7 @@
         self.finished = False
         self.avoid = set(avoid)
         self.failures = []
-        self.refusals = 0
+        self.rejections = 0
 
     def add(self, chunk):
         self.text += chunk.text
@@ -167,15 +167,17 @@
                     cost,
                     deadline,
                     request_id,
-                    lambda: self._placement.others(pool, progress.avoid),
+                    lambda: self._placement.alternatives(pool, progress.avoid),
                 )
             except ServiceError as e:
-                self._pass_over(e, upstream, progress, request_id)
+                self._skip_upstream(e, upstream, progress, request_id)
                 continue
             finally:
                 self._placement.end(upstream)
             upstream = grant.upstream
-            stream = self._read(grant, account, pool, prompt, seed, deadline, progress)
+            stream = self._stream_from(
+                grant, account, pool, prompt, seed, deadline, progress
+            )
             try:
                 async with contextlib.aclosing(stream):
                     async for chunk in stream:
@@ -186,7 +188,7 @@
                         yield chunk
                 progress.finished = True
             except ServiceError as e:
-                self._move(e, pool, upstream, progress, deadline, request_id)
+                self._fail_over(e, pool, upstream, progress, deadline, request_id)
 
     async def close(self):
         """Give up what still runs in the background."""
@@ -199,48 +201,52 @@
             if not progress.failures:
                 raise
             # An attempt that may have run is never reported as not run.
-            raise most_telling(progress.failures) from None
+            raise error_to_report(progress.failures) from None
 
-    def _pass_over(self, error, upstream, progress, request_id):
+    def _skip_upstream(self, error, upstream, progress, request_id):
         """Go to another engine when one takes no work, or raise its error."""
         # An upstream that takes no new work says nothing of the load on the others.
-        progress.refusals += error.kind != ErrorKind.NO_UPSTREAM
-        if error.kind not in REFUSALS or progress.refusals >= MAX_REFUSALS:
-            raise most_telling([*progress.failures, error])
+        progress.rejections += error.kind != ErrorKind.NO_UPSTREAM
+        if error.kind not in REJECTION_ERRORS or progress.rejections >= MAX_REJECTIONS:
+            raise error_to_report([*progress.failures, error])
         progress.failures.append(error)
         progress.avoid.add(upstream.name)
         text = f"Passed over {upstream.name}: {error.message}"
         self._decisions.record("completions", request_id, text)
 
-    def _move(self, error, pool, upstream, progress, deadline, request_id):
+    def _fail_over(self, error, pool, upstream, progress, deadline, request_id):
         """Go on with another engine after a failure, or raise it."""
         progress.failures.append(error)
-        if error.kind in NOT_SERVED:
-            raise most_telling(progress.failures)
-        if error.kind not in MOVABLE | REFUSALS | {ErrorKind.VERSION_CONFLICT}:
+        if error.kind in ACCESS_ERRORS:
+            raise error_to_report(progress.failures)
+        if error.kind not in FAILOVER_ERRORS | REJECTION_ERRORS | {
+            ErrorKind.VERSION_CONFLICT
+        }:
             raise error
         if progress.text and not self._resumes:
-            raise most_telling(progress.failures)
+            raise error_to_report(progress.failures)
         if len(progress.failures) > MAX_FAILURES or deadline.passed():
-            raise most_telling(progress.failures)
+            raise error_to_report(progress.failures)
         # An engine that keeps its old weights gave no token of use, and goes on being
         # chosen until it swaps: leaving it is no retry of work that it did.
-        is_old = error.kind == ErrorKind.VERSION_CONFLICT
-        if not is_old and not self._budget.try_retry(pool):
-            raise most_telling(progress.failures)
+        is_outdated = error.kind == ErrorKind.VERSION_CONFLICT
+        if not is_outdated and not self._budget.try_retry(pool):
+            raise error_to_report(progress.failures)
         self._metrics.retries.labels(error.code).inc()
         progress.avoid.add(upstream.name)
         text = f"Moved on from {upstream.name} with {len(progress.text)} characters"
         self._decisions.record("completions", request_id, f"{text}: {error.message}")
 
-    async def _read(self, grant, account, pool, prompt, seed, deadline, progress):
+    async def _stream_from(
+        self, grant, account, pool, prompt, seed, deadline, progress
+    ):
         """Yield the pieces of one engine's stream, under a granted slot."""
         upstream = grant.upstream
         stream_id = util.new_id()
         model = self._lease.view().configuration.pools_by_name[pool].model
         started_ms = self._clock.now_ms()
         first_ms = None
-        used = 0
+        used_tokens = 0
         in_flight = False
         self._placement.begin(upstream)
         stream = self._engines.stream(
@@ -255,26 +261,26 @@
             idle_timeout_ms=self._settings.progress_timeout_ms,
         )
         try:
-            if not self._placement.takes_work(upstream.name):
+            if not self._placement.accepts_requests(upstream.name):
                 text = f"{upstream.name} takes no new work."
                 raise ServiceError(ErrorKind.NO_UPSTREAM, text)
-            check_served(self._lease.view(), account, pool)
+            check_access(self._lease.view(), account, pool)
             in_flight = True
             async with contextlib.aclosing(stream):
                 async for chunk in stream:
                     if first_ms is None:
                         first_ms = self._clock.now_ms() - started_ms
-                    used += chunk.tokens
+                    used_tokens += chunk.tokens
                     yield chunk
             in_flight = False
             self._record(upstream, True, first_ms)
         except ServiceError as e:
-            if e.kind in MOVABLE:
+            if e.kind in FAILOVER_ERRORS:
                 self._record(upstream, False)
             raise
         finally:
             self._placement.end(upstream)
-            self._admission.release(grant, used)
+            self._admission.release(grant, used_tokens)
             if in_flight:
                 self._tasks.start(self._cancel(upstream, stream_id), name="cancel")
 
@@ -286,6 +292,6 @@
         except ServiceError as e:
             log.info("Could not cancel a stream at %s: %s", upstream.name, e)
 
-    def _record(self, upstream, ok, first_ms=None):
+    def _record(self, upstream, succeeded, first_ms=None):
         if self._health is not None:
-            self._health.record(upstream.name, ok, first_ms)
+            self._health.record(upstream.name, succeeded, first_ms)
--- a/goldcrestmoor/request/failures.py
+++ b/goldcrestmoor/request/failures.py
@@ -3,7 +3,7 @@
 from goldcrestmoor.errors import Ran
 
 
-def most_telling(failures):
+def error_to_report(failures):
     """Return the error that a request ends with after several attempts.
 
     A request that may have run in any attempt is never reported as not run.
--- a/goldcrestmoor/request/fair_queue.py
+++ b/goldcrestmoor/request/fair_queue.py
@@ -9,11 +9,11 @@
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
 PERCENT = 100
-RATE_WEIGHT = 0.2
+EWMA_ALPHA = 0.2
 MAX_IDLE_ACCOUNTS = 1000
 MIN_RETRY_AFTER_MS = 100
-LEAST_WAIT_MS = 50
-ROUNDING = 1e-6
+MIN_WAIT_MS = 50
+PENDING_COST_EPSILON = 1e-6
 APPLICATION = "application"
 
 
@@ -53,13 +53,13 @@
         "_order",
         "_rejects_early",
         "_queues_by_account",
-        "_virtual_by_account",
-        "_pending_by_account",
+        "_virtual_time_by_account",
+        "_pending_cost_by_account",
         "_service_ms_by_account",
         "_length",
         "_numbers",
-        "_interval_ms",
-        "_last_start_ms",
+        "_start_interval_ms",
+        "_last_started_ms",
     )
 
     def __init__(
@@ -77,21 +77,23 @@
         self._order = order
         self._rejects_early = rejects_early
         self._queues_by_account = {}
-        self._virtual_by_account = collections.OrderedDict()
-        self._pending_by_account = {}
+        self._virtual_time_by_account = collections.OrderedDict()
+        self._pending_cost_by_account = {}
         self._service_ms_by_account = collections.OrderedDict()
         self._length = 0
         self._numbers = itertools.count()
-        self._interval_ms = None
-        self._last_start_ms = None
+        self._start_interval_ms = None
+        self._last_started_ms = None
 
     def __len__(self):
         return self._length
 
-    def oldest_ms(self):
+    def oldest_wait_ms(self):
         """Return how long the oldest entry has waited, in milliseconds."""
-        heads = (queue[0].queued_ms for queue in self._queues_by_account.values())
-        oldest = min(heads, default=None)
+        oldest_by_account = (
+            queue[0].queued_ms for queue in self._queues_by_account.values()
+        )
+        oldest = min(oldest_by_account, default=None)
         return 0 if oldest is None else self._clock.now_ms() - oldest
 
     def push(self, entry):
@@ -102,15 +104,15 @@
             the entry's deadline, with when to come back.
         """
         if self._rejects_early:
-            self._check_room(entry)
+            self._check_capacity(entry)
         if entry.account not in self._queues_by_account:
-            self._join(entry.account)
+            self._activate(entry.account)
         queue = self._queues_by_account.setdefault(entry.account, collections.deque())
         entry.number = next(self._numbers)
         queue.append(entry)
         self._length += 1
 
-    def _check_room(self, entry):
+    def _check_capacity(self, entry):
         wait_ms = self.expected_wait_ms(entry)
         is_full = self._length >= self._max_length
         if is_full or wait_ms > entry.deadline.remaining_ms():
@@ -121,16 +123,16 @@
     def pop(self):
         """Take the request that goes next, or None.
 
-        Entries whose deadline has passed are left to :meth:`expire`.
+        Entries whose deadline has passed are left to :meth:`pop_expired`.
         """
         if not self._queues_by_account:
             return None
         entry = self._queues_by_account[self._next_account()][0]
-        entry.pending = entry.cost_tokens / self._weight(entry)
-        pending = self._pending_by_account.get(entry.account, 0.0)
-        self._pending_by_account[entry.account] = pending + entry.pending
+        entry.pending_cost = entry.cost_tokens / self._weight(entry)
+        pending_cost = self._pending_cost_by_account.get(entry.account, 0.0)
+        self._pending_cost_by_account[entry.account] = pending_cost + entry.pending_cost
         entry.started_ms = self._clock.now_ms()
-        self._take(entry)
+        self._remove(entry)
         return entry
 
     def _next_account(self):
@@ -139,30 +141,32 @@
                 queues = self._queues_by_account
                 return min(queues, key=lambda name: queues[name][0].number)
             case _:
-                return min(self._queues_by_account, key=self._position)
+                return min(self._queues_by_account, key=self._projected_virtual_time)
 
-    def _position(self, account):
-        pending = self._pending_by_account.get(account, 0.0)
-        return self._virtual_by_account[account] + pending
+    def _projected_virtual_time(self, account):
+        pending_cost = self._pending_cost_by_account.get(account, 0.0)
+        return self._virtual_time_by_account[account] + pending_cost
 
-    def settle(self, entry, used_tokens):
+    def record_usage(self, entry, used_tokens):
         """Count what a request used in the end, in place of its expected cost.
 
         :param entry: its entry, which is no longer in flight.
         :param used_tokens: how many tokens it used.
         """
-        if entry.account not in self._virtual_by_account:
-            self._join(entry.account)
+        if entry.account not in self._virtual_time_by_account:
+            self._activate(entry.account)
         if used_tokens and entry.started_ms is not None:
-            self._note_service(entry)
+            self._record_service_time(entry)
         used = used_tokens / self._weight(entry)
-        self._virtual_by_account[entry.account] += used
-        left = self._pending_by_account.pop(entry.account, 0.0) - entry.pending
-        entry.pending = 0.0
-        if left > ROUNDING:
-            self._pending_by_account[entry.account] = left
-
-    def start_within_ms(self, account, remaining_ms):
+        self._virtual_time_by_account[entry.account] += used
+        remaining = (
+            self._pending_cost_by_account.pop(entry.account, 0.0) - entry.pending_cost
+        )
+        entry.pending_cost = 0.0
+        if remaining > PENDING_COST_EPSILON:
+            self._pending_cost_by_account[entry.account] = remaining
+
+    def max_wait_ms(self, account, remaining_ms):
         """Return how long a request may wait and still end in time.
 
         :param account: the account's name.
@@ -171,27 +175,29 @@
         if not self._rejects_early:
             return remaining_ms
         service_ms = round(self._service_ms_by_account.get(account, 0))
-        return max(LEAST_WAIT_MS, remaining_ms - service_ms)
+        return max(MIN_WAIT_MS, remaining_ms - service_ms)
 
-    def _note_service(self, entry):
+    def _record_service_time(self, entry):
         service_ms = self._clock.now_ms() - entry.started_ms
         known = self._service_ms_by_account
         mean_ms = known.get(entry.account, service_ms)
-        known[entry.account] = mean_ms + RATE_WEIGHT * (service_ms - mean_ms)
+        known[entry.account] = mean_ms + EWMA_ALPHA * (service_ms - mean_ms)
         known.move_to_end(entry.account)
         if len(known) > MAX_IDLE_ACCOUNTS:
             known.popitem(last=False)
 
-    def started(self):
+    def record_start(self):
         """Note that a queued entry was started, for the drain rate."""
         now_ms = self._clock.now_ms()
-        if self._last_start_ms is not None:
-            interval_ms = now_ms - self._last_start_ms
-            if self._interval_ms is None:
-                self._interval_ms = interval_ms
-            self._interval_ms += RATE_WEIGHT * (interval_ms - self._interval_ms)
+        if self._last_started_ms is not None:
+            interval_ms = now_ms - self._last_started_ms
+            if self._start_interval_ms is None:
+                self._start_interval_ms = interval_ms
+            self._start_interval_ms += EWMA_ALPHA * (
+                interval_ms - self._start_interval_ms
+            )
         # Only the time between two starts of a busy queue tells its rate.
-        self._last_start_ms = now_ms if self._length else None
+        self._last_started_ms = now_ms if self._length else None
 
     def expected_wait_ms(self, entry):
         """Return how long an entry would wait, by the measured drain rate.
@@ -201,15 +207,15 @@
         """
         if not self._length:
             return 0
-        interval_ms = self._interval_ms or 0
-        if self._last_start_ms is not None:
+        interval_ms = self._start_interval_ms or 0
+        if self._last_started_ms is not None:
             # A queue that has come to a halt shows in the time since its last start.
-            interval_ms = max(interval_ms, self._clock.now_ms() - self._last_start_ms)
+            interval_ms = max(interval_ms, self._clock.now_ms() - self._last_started_ms)
         if isinstance(self._order, FirstComeFirstServed):
             return (self._length + 1) * interval_ms
         own = len(self._queues_by_account.get(entry.account, ()))
-        part = self._weight(entry) / self._total_weight(entry)
-        ahead = min(self._length, own / part)
+        fraction = self._weight(entry) / self._total_weight(entry)
+        ahead = min(self._length, own / fraction)
         return (ahead + 1) * interval_ms
 
     def remove(self, entry):
@@ -219,19 +225,19 @@
         """
         queue = self._queues_by_account.get(entry.account, ())
         if entry in queue:
-            self._take(entry)
+            self._remove(entry)
 
-    def expire(self):
+    def pop_expired(self):
         """Take out and yield the entries whose deadline has passed."""
         for entry in list(self.entries()):
             if entry.deadline.passed():
-                self._take(entry)
+                self._remove(entry)
                 yield entry
 
     def clear(self):
         """Take out and yield every entry."""
         for entry in list(self.entries()):
-            self._take(entry)
+            self._remove(entry)
             yield entry
 
     def entries(self):
@@ -239,29 +245,29 @@
         for queue in self._queues_by_account.values():
             yield from queue
 
-    def _take(self, entry):
+    def _remove(self, entry):
         queue = self._queues_by_account[entry.account]
         queue.remove(entry)
         self._length -= 1
         if not queue:
             del self._queues_by_account[entry.account]
 
-    def _join(self, account):
-        busy = self._queues_by_account.keys() | self._pending_by_account.keys()
-        others = [self._virtual_by_account[name] for name in busy - {account}]
+    def _activate(self, account):
+        busy = self._queues_by_account.keys() | self._pending_cost_by_account.keys()
+        others = [self._virtual_time_by_account[name] for name in busy - {account}]
         if not busy:
             # Nobody is owed anything once all work is done.
-            self._virtual_by_account.clear()
-        known = self._virtual_by_account.get(account, 0.0)
-        self._virtual_by_account[account] = max(known, min(others, default=0.0))
-        self._virtual_by_account.move_to_end(account)
-        if len(self._virtual_by_account) > MAX_IDLE_ACCOUNTS:
-            for name in self._virtual_by_account:
+            self._virtual_time_by_account.clear()
+        known = self._virtual_time_by_account.get(account, 0.0)
+        self._virtual_time_by_account[account] = max(known, min(others, default=0.0))
+        self._virtual_time_by_account.move_to_end(account)
+        if len(self._virtual_time_by_account) > MAX_IDLE_ACCOUNTS:
+            for name in self._virtual_time_by_account:
                 if name not in busy and name != account:
-                    del self._virtual_by_account[name]
+                    del self._virtual_time_by_account[name]
                     break
 
-    def _shares(self, entry):
+    def _share_by_kind(self, entry):
         # The heads stand for their accounts; the entry's own may not be queued yet.
         share_by_kind = collections.Counter()
         for account, queue in self._queues_by_account.items():
@@ -271,9 +277,9 @@
         return share_by_kind
 
     def _weight(self, entry):
-        return self._scale(entry, self._shares(entry))
+        return self._effective_weight(entry, self._share_by_kind(entry))
 
-    def _scale(self, entry, share_by_kind):
+    def _effective_weight(self, entry, share_by_kind):
         applications = share_by_kind[APPLICATION]
         others = share_by_kind.total() - applications
         if entry.kind != APPLICATION or not others or self._floor_percent >= PERCENT:
@@ -282,7 +288,7 @@
         return entry.share * max(1.0, floor / applications)
 
     def _total_weight(self, entry):
-        share_by_kind = self._shares(entry)
+        share_by_kind = self._share_by_kind(entry)
         applications = share_by_kind[APPLICATION]
         others = share_by_kind.total() - applications
         if not applications or not others or self._floor_percent >= PERCENT:
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -35,7 +35,7 @@
     body: bytes
 
 
-class TryEnd(msgspec.Struct, frozen=True):
+class FailedAttempt(msgspec.Struct, frozen=True):
     """How a try ended that gave no answer to pass on.
 
     :param ran: whether the upstream ran the request.
@@ -46,7 +46,7 @@
     reason: str
 
 
-class Tries:
+class RequestAttempts:
     """The upstreams that one request has been sent to, and what is known of it.
 
     :param request: the :class:`CallerRequest`.
@@ -64,9 +64,9 @@
         "_metrics",
         "_service",
         "_sent_to",
-        "_runs",
+        "_possible_runs",
         "_ran",
-        "_allowed_ms",
+        "_total_ms",
     )
 
     def __init__(self, *, request, route, deadline, loads, metrics):
@@ -77,9 +77,9 @@
         self._metrics = metrics
         self._service = route.service_for(request.id)
         self._sent_to = []
-        self._runs = 0
+        self._possible_runs = 0
         self._ran = Ran.NOT_RUN
-        self._allowed_ms = deadline.remaining_ms()
+        self._total_ms = deadline.remaining_ms()
 
     def next_upstream(self):
         """Return the upstream to try next.
@@ -94,33 +94,33 @@
         self._sent_to.append(upstream.name)
         return upstream
 
-    def bound_ms(self):
+    def timeout_ms(self):
         """Return how long the current try may wait, in milliseconds."""
         return retry_decision.attempt_timeout_ms(
             self.route.retry_policy,
-            self._runs,
+            self._possible_runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
             self.route.target_ms,
-            self._has_other(),
+            self._has_alternative(),
         )
 
-    def settle(self, end):
+    def retry_or_raise(self, failure):
         """Decide what follows a try without an answer; return to send it again.
 
-        :param end: the :class:`TryEnd`.
+        :param failure: the :class:`FailedAttempt`.
         :raises ServiceError: when the request is given up.
         """
-        if end.ran is not Ran.NOT_RUN:
+        if failure.ran is not Ran.NOT_RUN:
             self._ran = Ran.UNKNOWN
-            self._runs += 1
+            self._possible_runs += 1
         decision = retry_decision.decide_retry(
             self._ran,
             self.route.retry_policy,
-            self._runs,
+            self._possible_runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
-            self._has_other(),
+            self._has_alternative(),
         )
         log.info(
             "Request %s on route %s at %s, %d of %d ms left: %s; %s.",
@@ -128,28 +128,28 @@
             self.route.name,
             self._sent_to[-1],
             self.deadline.remaining_ms(),
-            self._allowed_ms,
-            end.reason,
+            self._total_ms,
+            failure.reason,
             type(decision).__name__,
         )
         match decision:
             case SendAgain():
-                self._metrics.retries.labels(end.ran.value).inc()
+                self._metrics.retries.labels(failure.ran.value).inc()
             case GiveUp(kind, retry_after_ms):
-                raise ServiceError(kind, end.reason, retry_after_ms)
+                raise ServiceError(kind, failure.reason, retry_after_ms)
 
-    def note_error(self, upstream, error):
+    def record_error(self, upstream, error):
         """Take in that a try of an upstream brought no answer.
 
         :param upstream: the upstream.
         :param error: the :class:`~goldcrestmoor.errors.ServiceError`.
         """
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
-            self._loads.note_timeout(upstream, self.route.name)
+            self._loads.record_timeout(upstream, self.route.name)
         else:
-            self._loads.note_failure(upstream)
+            self._loads.record_failure(upstream)
 
-    def note_answer(self, status):
+    def record_response(self, status):
         """Log the answer that is passed on.
 
         :param status: its HTTP status.
@@ -164,7 +164,7 @@
             self.deadline.remaining_ms(),
         )
 
-    def _has_other(self):
+    def _has_alternative(self):
         return self._loads.choose(self._service, self._sent_to) is not None
 
 
@@ -185,9 +185,9 @@
         self._dialect = dialect
         self._metrics = metrics
 
-    def _tries(self, request, route, deadline):
+    def _new_attempts(self, request, route, deadline):
         """Return the record of a request that has not been sent yet."""
-        return Tries(
+        return RequestAttempts(
             request=request,
             route=route,
             deadline=deadline,
@@ -211,25 +211,25 @@
         :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when it surely was
             not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may have.
         """
-        tries = self._tries(request, route, deadline)
+        attempts = self._new_attempts(request, route, deadline)
         while True:
-            upstream = tries.next_upstream()
-            outcome = await self._try(upstream, tries)
+            upstream = attempts.next_upstream()
+            outcome = await self._attempt(upstream, attempts)
             match outcome:
                 case AppResponse():
-                    tries.note_answer(outcome.status)
+                    attempts.record_response(outcome.status)
                     return outcome
-                case TryEnd():
-                    tries.settle(outcome)
+                case FailedAttempt():
+                    attempts.retry_or_raise(outcome)
 
-    async def _try(self, upstream, tries):
-        request, route = tries.request, tries.route
+    async def _attempt(self, upstream, attempts):
+        request, route = attempts.request, attempts.route
         headers = self._dialect.request_headers(
-            request.headers, upstream, tries.deadline.remaining_ms()
+            request.headers, upstream, attempts.deadline.remaining_ms()
         )
         try:
             with (
-                self._loads.counted(upstream),
+                self._loads.track_request(upstream),
                 tracing.span("forward", upstream=upstream.name),
             ):
                 response = await self._http.request(
@@ -239,27 +239,27 @@
                     request.target,
                     headers,
                     request.body,
-                    max(1, tries.bound_ms()),
+                    max(1, attempts.timeout_ms()),
                     idempotent=route.retry_policy is not RetryPolicy.NEVER,
                     connect_timeout_ms=CONNECT_TIMEOUT_MS,
                     allow_close_delimited=True,
                 )
         except ServiceError as e:
-            tries.note_error(upstream, e)
-            return TryEnd(e.answer.ran, e.message)
-        return self._judge(upstream, tries, response)
+            attempts.record_error(upstream, e)
+            return FailedAttempt(e.answer.ran, e.message)
+        return self._classify(upstream, attempts, response)
 
-    def _judge(self, upstream, tries, response):
+    def _classify(self, upstream, attempts, response):
         status, headers = response.status, response.headers
         if self._dialect.ran(status, headers) is Ran.NOT_RUN:
-            return TryEnd(Ran.NOT_RUN, f"Not run, answered {status}")
-        if not self._dialect.is_genuine(tries.request.id, status, headers):
-            self._loads.note_failure(upstream)
-            return TryEnd(Ran.UNKNOWN, "The answer is spoilt or another's")
-        self._loads.note_answer(upstream, tries.route.name)
+            return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
+        if not self._dialect.is_genuine(attempts.request.id, status, headers):
+            self._loads.record_failure(upstream)
+            return FailedAttempt(Ran.UNKNOWN, "The answer is spoilt or another's")
+        self._loads.record_response(upstream, attempts.route.name)
         if (
             status == SERVER_ERROR
-            and tries.route.retry_policy is RetryPolicy.IDEMPOTENT
+            and attempts.route.retry_policy is RetryPolicy.IDEMPOTENT
         ):
-            return TryEnd(Ran.RAN, "The server failed")
+            return FailedAttempt(Ran.RAN, "The server failed")
         return AppResponse(status, tuple(headers), response.body)
--- a/goldcrestmoor/request/key_messages.py
+++ b/goldcrestmoor/request/key_messages.py
@@ -3,15 +3,15 @@
 from goldcrestmoor import wire
 from goldcrestmoor.request.apps import AppRequest, AppResponse
 
-TRAVEL_MS = 500
+REPLY_MARGIN_MS = 500
 
 
-def time_to_answer_ms(remaining_ms):
+def reply_timeout_ms(remaining_ms):
     """Return the time in which a peer must answer, so that its answer still arrives.
 
     :param remaining_ms: the asking host's remaining time, in milliseconds.
     """
-    return remaining_ms - min(TRAVEL_MS, remaining_ms // 2)
+    return remaining_ms - min(REPLY_MARGIN_MS, remaining_ms // 2)
 
 
 class SendWithKey(wire.Message, frozen=True):
--- a/goldcrestmoor/request/key_mint.py
+++ b/goldcrestmoor/request/key_mint.py
@@ -10,7 +10,7 @@
 
 PREFIX = "gk1."
 MAC_CHARACTERS = 32
-FIELDS = 5
+FIELD_COUNT = 5
 
 
 class MintedKey(msgspec.Struct, frozen=True):
@@ -76,7 +76,9 @@
         if not hmac.compare_digest(mac.encode(), self._mac(text, account).encode()):
             raise ServiceError(ErrorKind.BAD_REQUEST, "The key was not minted here.")
         # A host's name may hold dots, so the parts are taken from the end.
-        host, incarnation, minted_ms, _ = text[len(PREFIX) :].rsplit(".", FIELDS - 2)
+        host, incarnation, minted_ms, _ = text[len(PREFIX) :].rsplit(
+            ".", FIELD_COUNT - 2
+        )
         return MintedKey(host, incarnation, int(minted_ms))
 
     def is_own(self, minted):
--- a/goldcrestmoor/request/minted_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -6,19 +6,19 @@
 
 from goldcrestmoor.clock import Deadline
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
-from goldcrestmoor.request.authentication import check_served
+from goldcrestmoor.request.authentication import check_access
 from goldcrestmoor.request.key_messages import (
     KeyedAnswer,
     SendWithKey,
-    time_to_answer_ms,
+    reply_timeout_ms,
 )
-from goldcrestmoor.request.outcome_cache import digest_of
+from goldcrestmoor.request.outcome_cache import request_digest
 
 log = logging.getLogger("goldcrestmoor.keys")
 
 ALIVE = "alive"
 DEAD = "dead"
-MAX_ASKS = 2
+MAX_CALLS = 2
 
 
 class MintedKeys:
@@ -88,20 +88,20 @@
             )
         record = self._membership.find(minted.host)
         if record is None or str(record.state) == DEAD:
-            raise _unknown("The host that minted the key is gone.")
+            raise _outcome_unknown("The host that minted the key is gone.")
         message = SendWithKey(
             account, key, request, deadline.remaining_ms(), request_id
         )
-        answer = await self._ask(minted.host, message, deadline)
+        answer = await self._ask_minting_host(minted.host, message, deadline)
         return answer.answer
 
-    async def _ask(self, host, message, deadline):
+    async def _ask_minting_host(self, host, message, deadline):
         """Ask the host that minted a key to send, or for what came of it.
 
         A link may go silent while that host works. Asking once more, on a link
         that is dialled anew, gets the same outcome.
         """
-        for attempt in range(MAX_ASKS):
+        for attempt in range(MAX_CALLS):
             record = self._membership.find(host)
             is_alive = record is not None and str(record.state) == ALIVE
             if deadline.passed() or (attempt and not is_alive):
@@ -116,12 +116,12 @@
                     break
                 if e.kind != ErrorKind.PEER_UNREACHABLE:
                     raise
-        raise _unknown("The host that minted the key does not answer.")
+        raise _outcome_unknown("The host that minted the key does not answer.")
 
     async def _run_here(
         self, account, key, minted, request, deadline, request_id, check_account
     ):
-        digest = digest_of(request)
+        digest = request_digest(request)
         full_key = f"{account}/{key}"
         outcome = self._memory.find(full_key, digest)
         if outcome is None:
@@ -148,21 +148,21 @@
     async def _on_send(self, sender, message):
         minted = self._mint.parse(message.key, message.account)
         if not self._mint.is_own(minted):
-            raise _unknown("The host that minted the key has restarted.")
+            raise _outcome_unknown("The host that minted the key has restarted.")
         accounts = self._lease.view().configuration.accounts_by_name
         account = accounts.get(message.account)
         if account is None or message.request.pool not in account.pools:
             text = "The account may not use this pool."
             raise ServiceError(ErrorKind.FORBIDDEN, text)
         full_key = f"{message.account}/{message.key}"
-        digest = digest_of(message.request)
+        digest = request_digest(message.request)
         if not self._memory.is_open and self._memory.find(full_key, digest) is None:
             raise ServiceError(ErrorKind.DRAINING, "The key's host is shutting down.")
-        remaining_ms = time_to_answer_ms(message.remaining_ms)
+        remaining_ms = reply_timeout_ms(message.remaining_ms)
         deadline = Deadline.after(self._clock, remaining_ms)
 
         def check():
-            check_served(self._lease.view(), account, message.request.pool)
+            check_access(self._lease.view(), account, message.request.pool)
 
         answer = await self._run_here(
             message.account,
@@ -176,5 +176,5 @@
         return KeyedAnswer(answer)
 
 
-def _unknown(text):
+def _outcome_unknown(text):
     return ServiceError(ErrorKind.OUTCOME_UNKNOWN, f"{text} It will not be sent.")
--- a/goldcrestmoor/request/outcome_cache.py
+++ b/goldcrestmoor/request/outcome_cache.py
@@ -8,13 +8,13 @@
 from goldcrestmoor.clock import MS_PER_SECOND
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 
-MAX_KEPT_BODY_BYTES = 1 << 16
-MAX_KEPT_TOTAL_BYTES = 8 << 20
+MAX_CACHED_BODY_BYTES = 1 << 16
+MAX_CACHED_TOTAL_BYTES = 8 << 20
 FULL_RETRY_AFTER_MS = 5000
-SWEEP_MS = 5000
+CLEANUP_INTERVAL_MS = 5000
 
 
-def digest_of(request):
+def request_digest(request):
     """Return what tells one request from another under the same key.
 
     :param request: an :class:`~goldcrestmoor.request.apps.AppRequest`.
@@ -31,7 +31,7 @@
     :param expires_ms: how long it is remembered, on the clock's scale.
     """
 
-    __slots__ = ("digest", "expires_ms", "answer", "error", "keep")
+    __slots__ = ("digest", "expires_ms", "answer", "error", "is_cached")
     __slots__ += ("waiters", "_done")
 
     def __init__(self, digest, expires_ms):
@@ -40,7 +40,7 @@
         self.answer = None
         self.error = None
         self.waiters = 0
-        self.keep = True
+        self.is_cached = True
         self._done = asyncio.Event()
 
     def is_done(self):
@@ -80,8 +80,14 @@
         ``is_open`` whether new work is taken; None when there is no such count.
     """
 
-    __slots__ = ("_clock", "_settings", "_outcomes_by_key", "_kept_bytes", "_tasks") + (
-        "_swept_ms",
+    __slots__ = (
+        "_clock",
+        "_settings",
+        "_outcomes_by_key",
+        "_cached_bytes",
+        "_tasks",
+    ) + (
+        "_last_cleanup_ms",
         "_in_flight",
     )
 
@@ -90,8 +96,8 @@
         self._clock = clock
         self._settings = settings
         self._outcomes_by_key = {}
-        self._kept_bytes = 0
-        self._swept_ms = clock.now_ms()
+        self._cached_bytes = 0
+        self._last_cleanup_ms = clock.now_ms()
         self._tasks = util.TaskGroup()
 
     def __len__(self):
@@ -133,7 +139,7 @@
         :return: the :class:`Outcome`.
         :raises ServiceError: ``OVERLOADED`` when too many are remembered.
         """
-        self._make_room()
+        self._ensure_capacity()
         outcome = Outcome(digest, expires_ms)
         self._outcomes_by_key[key] = outcome
         self._tasks.start(self._run(key, outcome, send), name="keyed request")
@@ -156,7 +162,7 @@
             raise ServiceError(ErrorKind.IN_PROGRESS, text) from None
         finally:
             outcome.waiters -= 1
-            self._shed(outcome)
+            self._discard_uncached(outcome)
 
     def forget(self, key):
         """Drop a key whose request was not run.
@@ -173,7 +179,7 @@
         try:
             with self.hold():
                 outcome.answer = await send()
-            self._keep(outcome)
+            self._cache_response(outcome)
         except ServiceError as e:
             outcome.error = e
             if e.answer.ran == Ran.NOT_RUN:
@@ -189,27 +195,27 @@
         finally:
             outcome.finish()
 
-    def _keep(self, outcome):
+    def _cache_response(self, outcome):
         size = _size(outcome.answer)
-        fits = self._kept_bytes + size <= MAX_KEPT_TOTAL_BYTES
-        if size <= MAX_KEPT_BODY_BYTES and fits:
-            self._kept_bytes += size
+        has_capacity = self._cached_bytes + size <= MAX_CACHED_TOTAL_BYTES
+        if size <= MAX_CACHED_BODY_BYTES and has_capacity:
+            self._cached_bytes += size
             return
-        outcome.keep = False
-        self._shed(outcome)
+        outcome.is_cached = False
+        self._discard_uncached(outcome)
 
-    def _shed(self, outcome):
+    def _discard_uncached(self, outcome):
         """Drop an answer that is too large to keep, once nobody waits for it."""
-        if outcome.keep or outcome.waiters or outcome.answer is None:
+        if outcome.is_cached or outcome.waiters or outcome.answer is None:
             return
         text = f"It ran with status {outcome.answer.status}; the answer was not kept."
         outcome.answer = None
         outcome.error = ServiceError(ErrorKind.ANSWER_NOT_KEPT, text)
 
-    def _make_room(self):
+    def _ensure_capacity(self):
         now_ms = self._clock.now_ms()
-        if now_ms >= self._swept_ms + SWEEP_MS:
-            self._swept_ms = now_ms
+        if now_ms >= self._last_cleanup_ms + CLEANUP_INTERVAL_MS:
+            self._last_cleanup_ms = now_ms
             for key, outcome in list(self._outcomes_by_key.items()):
                 if outcome.expires_ms <= now_ms and outcome.is_done():
                     self._drop(key)
@@ -219,8 +225,8 @@
 
     def _drop(self, key):
         outcome = self._outcomes_by_key.pop(key, None)
-        if outcome is not None and outcome.keep and outcome.answer is not None:
-            self._kept_bytes -= _size(outcome.answer)
+        if outcome is not None and outcome.is_cached and outcome.answer is not None:
+            self._cached_bytes -= _size(outcome.answer)
 
 
 def _size(answer):
--- a/goldcrestmoor/request/placement.py
+++ b/goldcrestmoor/request/placement.py
@@ -60,7 +60,7 @@
         "_health",
         "_is_leaving",
         "_is_zone_live",
-        "_turn",
+        "_round_robin",
     )
 
     def __init__(
@@ -72,7 +72,7 @@
         self._health = health
         self._is_leaving = is_leaving or (lambda name: False)
         self._is_zone_live = is_zone_live or (lambda zone: True)
-        self._turn = itertools.count()
+        self._round_robin = itertools.count()
         self.in_flight_by_upstream = collections.Counter()
 
     def choose(self, pool, prefix_key="", avoid=(), may_probe=True):
@@ -86,9 +86,9 @@
         :raises ServiceError: ``NO_UPSTREAM`` when none may take new work.
         """
         usable = self.usable(pool, avoid)
-        probed = self._probed(pool, avoid, usable) if may_probe else None
-        if probed is not None:
-            return probed
+        due_probe = self._due_probe(pool, avoid, usable) if may_probe else None
+        if due_probe is not None:
+            return due_probe
         if not usable:
             text = f"No upstream of {pool} takes new work."
             raise ServiceError(ErrorKind.NO_UPSTREAM, text)
@@ -96,11 +96,11 @@
             case PrefixAffinity(max_load_percent) if prefix_key:
                 return self._by_prefix(usable, prefix_key, max_load_percent)
             case TwoChoices():
-                near = self._own_zone_with_room(usable)
-                drawn = random.sample(near, min(2, len(near)))
-                return min(drawn, key=self._load)
+                candidates = self._local_with_free_slot(usable)
+                sampled = random.sample(candidates, min(2, len(candidates)))
+                return min(sampled, key=self._load)
             case RoundRobin():
-                return usable[next(self._turn) % len(usable)]
+                return usable[next(self._round_robin) % len(usable)]
             case _:
                 return self._least_loaded(usable)
 
@@ -110,14 +110,14 @@
         :param pool: the pool's name.
         :param avoid: names of upstreams to pass over.
         """
-        takes = self._taking_work(pool, avoid)
+        accepting = self._accepting(pool, avoid)
         if self._health is not None:
-            names = set(self._health.usable([u.name for u in takes]))
-            takes = [u for u in takes if u.name in names]
+            names = set(self._health.usable([u.name for u in accepting]))
+            accepting = [u for u in accepting if u.name in names]
         # A zone whose hosts are all silent is most likely cut off from this one.
-        return [u for u in takes if self._is_near(u)] or takes
+        return [u for u in accepting if self._is_reachable(u)] or accepting
 
-    def others(self, pool, avoid=()):
+    def alternatives(self, pool, avoid=()):
         """Yield upstreams that a queued request may be moved to, least loaded first.
 
         :param pool: the pool's name.
@@ -126,13 +126,13 @@
         usable = self.usable(pool, avoid)
         yield from sorted(usable, key=lambda u: (self._load(u), random.random()))
 
-    def takes_work(self, name):
+    def accepts_requests(self, name):
         """Tell whether an upstream may be sent new work at this moment.
 
         :param name: the upstream's name.
         """
         upstream = self._lease.view().configuration.upstreams_by_name.get(name)
-        return upstream is not None and self._takes_work(upstream)
+        return upstream is not None and self._accepts_requests(upstream)
 
     def begin(self, upstream):
         """Count a request of this host on an upstream."""
@@ -144,30 +144,30 @@
         if self.in_flight_by_upstream[upstream.name] <= 0:
             del self.in_flight_by_upstream[upstream.name]
 
-    def _taking_work(self, pool, avoid):
+    def _accepting(self, pool, avoid):
         members = self._lease.view().configuration.upstreams_of(pool)
-        return [u for u in members if self._takes_work(u) and u.name not in avoid]
+        return [u for u in members if self._accepts_requests(u) and u.name not in avoid]
 
-    def _probed(self, pool, avoid, usable):
+    def _due_probe(self, pool, avoid, usable):
         """Return an unhealthy upstream whose time to be tried again has come."""
         if self._health is None:
             return None
         names = {u.name for u in usable}
-        for upstream in self._taking_work(pool, avoid):
-            if upstream.name in names or not self._is_near(upstream):
+        for upstream in self._accepting(pool, avoid):
+            if upstream.name in names or not self._is_reachable(upstream):
                 continue
             if self._health.try_probe(upstream.name):
                 return upstream
         return None
 
-    def _is_near(self, upstream):
+    def _is_reachable(self, upstream):
         return upstream.zone == self._zone or self._is_zone_live(upstream.zone)
 
-    def _own_zone_with_room(self, usable):
+    def _local_with_free_slot(self, usable):
         own = [u for u in usable if u.zone == self._zone and self._load(u) < 1]
         return own or usable
 
-    def _takes_work(self, upstream):
+    def _accepts_requests(self, upstream):
         return not upstream.draining and not self._is_leaving(upstream.name)
 
     def _load(self, upstream):
--- a/goldcrestmoor/request/queue_entry.py
+++ b/goldcrestmoor/request/queue_entry.py
@@ -22,7 +22,7 @@
         "deadline",
         "queued_ms",
         "number",
-        "pending",
+        "pending_cost",
         "started_ms",
     )
 
@@ -35,5 +35,5 @@
         self.deadline = deadline
         self.queued_ms = queued_ms
         self.number = 0
-        self.pending = 0.0
+        self.pending_cost = 0.0
         self.started_ms = None
--- a/goldcrestmoor/request/slots.py
+++ b/goldcrestmoor/request/slots.py
@@ -9,9 +9,9 @@
 
 log = logging.getLogger("goldcrestmoor.admission")
 
-GRANT_MS = 40_000
-POLL_HOLD_MS = 400
-POLL_LOST_MS = 3000
+GRANT_LIFETIME_MS = 40_000
+LONG_POLL_MS = 400
+POLL_EXPIRY_MS = 3000
 MIN_RETRY_AFTER_MS = 1000
 
 
@@ -81,18 +81,18 @@
         self.waiters_by_id[entry.id] = waiter
         return waiter
 
-    async def hold(self, waiter):
+    async def long_poll(self, waiter):
         """Wait for a while until a queued request is granted or refused.
 
         :param waiter: the :class:`Waiter`.
         :return: ``Granted`` or ``StillQueued``.
         :raises ServiceError: what the request was refused with.
         """
-        hold_ms = min(POLL_HOLD_MS, waiter.entry.deadline.remaining_ms())
-        await asyncio.wait([waiter.future], timeout=hold_ms / MS_PER_SECOND)
+        timeout_ms = min(LONG_POLL_MS, waiter.entry.deadline.remaining_ms())
+        await asyncio.wait([waiter.future], timeout=timeout_ms / MS_PER_SECOND)
         if not waiter.future.done() and waiter.entry.deadline.passed():
             self.queue.remove(waiter.entry)
-            self.refuse(waiter.entry, ErrorKind.QUEUE_TIMEOUT)
+            self.reject(waiter.entry, ErrorKind.QUEUE_TIMEOUT)
         if not waiter.future.done():
             return StillQueued(len(self.queue))
         self.waiters_by_id.pop(waiter.entry.id, None)
@@ -100,30 +100,30 @@
             raise ServiceError(ErrorKind.QUEUE_TIMEOUT, "The request was given up.")
         return waiter.future.result()
 
-    def fill(self, capacity):
+    def grant_free_slots(self, capacity):
         """Grant free slots to the requests that go next.
 
         :param capacity: how many may run at a time.
         """
-        self.refuse_expired()
+        self.reject_expired()
         while len(self.holders_by_id) < capacity:
             entry = self.queue.pop()
             if entry is None:
                 return
-            self.queue.started()
+            self.queue.record_start()
             self._grant(entry)
 
-    def refuse_expired(self):
+    def reject_expired(self):
         """Answer the queued requests whose deadline has passed."""
-        for entry in self.queue.expire():
-            self.refuse(entry, ErrorKind.QUEUE_TIMEOUT)
+        for entry in self.queue.pop_expired():
+            self.reject(entry, ErrorKind.QUEUE_TIMEOUT)
 
-    def refuse_all(self):
+    def reject_all(self):
         """Answer every queued request: the upstream takes no new work."""
         for entry in self.queue.clear():
-            self.refuse(entry, ErrorKind.NO_UPSTREAM)
+            self.reject(entry, ErrorKind.NO_UPSTREAM)
 
-    def refuse(self, entry, kind):
+    def reject(self, entry, kind):
         """Answer a request that has been taken from the queue.
 
         :param entry: its entry.
@@ -141,13 +141,13 @@
         # Between two polls nobody waits for it, which is no fault.
         waiter.future.exception()
 
-    def adopt(self, host, entry):
+    def add_holder(self, host, entry):
         """Count a grant that another owner gave, or keep a known one.
 
         :param host: the host that holds it.
         :param entry: its entry.
         """
-        expires_ms = self._clock.now_ms() + GRANT_MS
+        expires_ms = self._clock.now_ms() + GRANT_LIFETIME_MS
         self.holders_by_id[entry.id] = Holder(host, entry, expires_ms)
 
     def release(self, grant_id, used_tokens):
@@ -159,49 +159,49 @@
         """
         waiter = self.waiters_by_id.get(grant_id)
         if waiter is not None:
-            self._forget(waiter)
+            self._cancel_waiter(waiter)
         holder = self.holders_by_id.pop(grant_id, None)
         if holder is None:
             return None
-        self.queue.settle(holder.entry, max(0, used_tokens))
+        self.queue.record_usage(holder.entry, max(0, used_tokens))
         return holder.entry
 
     def drop_lapsed(self):
         """Drop what its host no longer asks for."""
         now_ms = self._clock.now_ms()
         self._drop_holders(lambda holder: holder.expires_ms <= now_ms)
-        self._drop_waiters(lambda waiter: waiter.polled_ms + POLL_LOST_MS <= now_ms)
+        self._drop_waiters(lambda waiter: waiter.polled_ms + POLL_EXPIRY_MS <= now_ms)
 
-    def drop_hosts(self, is_gone):
+    def drop_hosts(self, is_dead):
         """Drop what gone hosts hold and wait for.
 
-        :param is_gone: tells whether a host is gone.
+        :param is_dead: tells whether a host is gone.
         """
-        self._drop_holders(lambda holder: is_gone(holder.host))
-        self._drop_waiters(lambda waiter: is_gone(waiter.host))
+        self._drop_holders(lambda holder: is_dead(holder.host))
+        self._drop_waiters(lambda waiter: is_dead(waiter.host))
 
     def _grant(self, entry):
         waiter = self.waiters_by_id.get(entry.id)
         if waiter is None or waiter.future.done():
-            self.queue.settle(entry, 0)
+            self.queue.record_usage(entry, 0)
             return
-        self.adopt(waiter.host, entry)
+        self.add_holder(waiter.host, entry)
         queued_ms = self._clock.now_ms() - entry.queued_ms
         waiter.future.set_result(Granted(queued_ms))
 
-    def _forget(self, waiter):
+    def _cancel_waiter(self, waiter):
         self.waiters_by_id.pop(waiter.entry.id, None)
         self.queue.remove(waiter.entry)
         waiter.future.cancel()
 
-    def _drop_holders(self, is_over):
+    def _drop_holders(self, should_drop):
         for grant_id, holder in list(self.holders_by_id.items()):
-            if is_over(holder):
+            if should_drop(holder):
                 del self.holders_by_id[grant_id]
-                self.queue.settle(holder.entry, holder.entry.cost_tokens)
+                self.queue.record_usage(holder.entry, holder.entry.cost_tokens)
                 log.info("Dropped a grant that %s no longer holds.", holder.host)
 
-    def _drop_waiters(self, is_over):
+    def _drop_waiters(self, should_drop):
         for waiter in list(self.waiters_by_id.values()):
-            if is_over(waiter):
-                self._forget(waiter)
+            if should_drop(waiter):
+                self._cancel_waiter(waiter)
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -13,7 +13,7 @@
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 from goldcrestmoor.request.apps import AppResponse
 from goldcrestmoor.request.event_stream import EventParser
-from goldcrestmoor.request.forwarding import Sender, TryEnd
+from goldcrestmoor.request.forwarding import FailedAttempt, Sender
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 
 log = logging.getLogger("goldcrestmoor.streams")
@@ -21,7 +21,7 @@
 STATUS_OK = 200
 EVENT_STREAM = b"text/event-stream"
 # Callers leave a stream after a gap of two seconds, or longer by their route's terms.
-SILENCE_MS = 2000
+MIN_IDLE_TIMEOUT_MS = 2000
 
 
 class StreamResponse(msgspec.Struct, frozen=True):
@@ -51,38 +51,40 @@
             :class:`~goldcrestmoor.request.apps.AppResponse` when it is no stream.
         :raises ServiceError: as ``Forwarder.forward``.
         """
-        tries = self._tries(request, route, deadline)
-        parts = self._run(tries)
+        attempts = self._new_attempts(request, route, deadline)
+        items = self._run(attempts)
         try:
-            head = await anext(parts)
+            head = await anext(items)
             match head:
                 case AppResponse():
-                    await parts.aclose()
+                    await items.aclose()
                     return head
                 case _:
-                    first = await anext(parts, None)
+                    first = await anext(items, None)
         except BaseException:
-            await parts.aclose()
+            await items.aclose()
             raise
-        return StreamResponse(head, _joined(first, parts))
+        return StreamResponse(head, _prepend(first, items))
 
-    async def _run(self, tries):
+    async def _run(self, attempts):
         """Yield the first upstream's headers, then each event's bytes.
 
         An answer that is no stream is yielded whole, in place of the headers.
         """
         last_id, has_head, has_events = "", False, False
         while True:
-            upstream = tries.next_upstream()
+            upstream = attempts.next_upstream()
             reader = EventParser(self._dialect.EVENT_FIELDS)
             try:
-                async with self._opened(upstream, tries, last_id) as response:
-                    end = await self._check(upstream, tries, response, has_head)
-                    if isinstance(end, AppResponse):
-                        yield end
+                async with self._open_stream(upstream, attempts, last_id) as response:
+                    outcome = await self._check_response(
+                        upstream, attempts, response, has_head
+                    )
+                    if isinstance(outcome, AppResponse):
+                        yield outcome
                         return
-                    if end is None:
-                        tries.note_answer(response.status)
+                    if outcome is None:
+                        attempts.record_response(response.status)
                         if not has_head:
                             has_head = True
                             yield tuple(response.headers)
@@ -92,37 +94,41 @@
                                 has_events = True
                                 yield event.raw
                         if not reader.has_partial_event:
-                            self._loads.note_answer(upstream, tries.route.name)
+                            self._loads.record_response(upstream, attempts.route.name)
                             return
-                        end = TryEnd(Ran.UNKNOWN, "The stream ended within an event")
-                if end.ran is not Ran.NOT_RUN:
-                    self._loads.note_failure(upstream)
+                        outcome = FailedAttempt(
+                            Ran.UNKNOWN, "The stream ended within an event"
+                        )
+                if outcome.ran is not Ran.NOT_RUN:
+                    self._loads.record_failure(upstream)
             except ServiceError as e:
-                self._note_error(upstream, tries, e)
-                end = TryEnd(e.answer.ran, e.message)
-            may_resume = last_id and tries.route.retry_policy is RetryPolicy.RESUMABLE
+                self._record_error(upstream, attempts, e)
+                outcome = FailedAttempt(e.answer.ran, e.message)
+            may_resume = (
+                last_id and attempts.route.retry_policy is RetryPolicy.RESUMABLE
+            )
             if has_events and not may_resume:
-                raise ServiceError(ErrorKind.UPSTREAM_FAILED, end.reason)
-            tries.settle(end)
+                raise ServiceError(ErrorKind.UPSTREAM_FAILED, outcome.reason)
+            attempts.retry_or_raise(outcome)
 
-    def _note_error(self, upstream, tries, error):
+    def _record_error(self, upstream, attempts, error):
         # Silence within the stream is its engine's; a stream that is longer than its
         # caller waits says nothing of the engine.
-        if error.kind is ErrorKind.UPSTREAM_TIMEOUT and tries.deadline.passed():
-            self._loads.note_timeout(upstream, tries.route.name)
+        if error.kind is ErrorKind.UPSTREAM_TIMEOUT and attempts.deadline.passed():
+            self._loads.record_timeout(upstream, attempts.route.name)
         else:
-            self._loads.note_failure(upstream)
+            self._loads.record_failure(upstream)
 
     @contextlib.asynccontextmanager
-    async def _opened(self, upstream, tries, last_id):
-        request = tries.request
+    async def _open_stream(self, upstream, attempts, last_id):
+        request = attempts.request
         headers = self._dialect.request_headers(
-            request.headers, upstream, tries.deadline.remaining_ms()
+            request.headers, upstream, attempts.deadline.remaining_ms()
         )
         if last_id:
             resume = self._dialect.resume_header(last_id)
             headers = [pair for pair in headers if pair[0] != resume[0]] + [resume]
-        with self._loads.counted(upstream):
+        with self._loads.track_request(upstream):
             async with self._http.stream(
                 upstream.address,
                 upstream.port,
@@ -130,33 +136,37 @@
                 request.target,
                 headers,
                 request.body,
-                max(1, tries.deadline.remaining_ms()),
-                idempotent=tries.route.retry_policy is not RetryPolicy.NEVER,
-                progress_timeout_ms=max(SILENCE_MS, 4 * tries.route.target_ms),
+                max(1, attempts.deadline.remaining_ms()),
+                idempotent=attempts.route.retry_policy is not RetryPolicy.NEVER,
+                progress_timeout_ms=max(
+                    MIN_IDLE_TIMEOUT_MS, 4 * attempts.route.target_ms
+                ),
                 allow_close_delimited=True,
             ) as response:
                 yield response
 
-    async def _check(self, upstream, tries, response, has_head):
+    async def _check_response(self, upstream, attempts, response, has_head):
         """Return None for a stream to pass on, else how the try ended."""
         status, headers = response.status, response.headers
         if self._dialect.ran(status, headers) is Ran.NOT_RUN:
             async for _ in response.body():
                 pass
-            return TryEnd(Ran.NOT_RUN, f"Not run, answered {status}")
-        if not self._dialect.is_genuine(tries.request.id, status, headers):
-            return TryEnd(Ran.UNKNOWN, "The answer is spoilt or another's")
+            return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
+        if not self._dialect.is_genuine(attempts.request.id, status, headers):
+            return FailedAttempt(Ran.UNKNOWN, "The answer is spoilt or another's")
         if dict(headers).get(b"content-type", b"").startswith(EVENT_STREAM):
             return None
         if has_head:
-            return TryEnd(Ran.RAN, f"{upstream.name} did not resume it: {status}")
+            return FailedAttempt(
+                Ran.RAN, f"{upstream.name} did not resume it: {status}"
+            )
         chunks = [chunk async for chunk in response.body()]
         return AppResponse(status, tuple(headers), b"".join(chunks))
 
 
-async def _joined(first, parts):
-    async with contextlib.aclosing(parts):
+async def _prepend(first, items):
+    async with contextlib.aclosing(items):
         if first is not None:
             yield first
-        async for part in parts:
-            yield part
+        async for item in items:
+            yield item
--- a/goldcrestmoor/request/upstream_loads.py
+++ b/goldcrestmoor/request/upstream_loads.py
@@ -6,11 +6,11 @@
 
 # An upstream that failed is left alone for so long while there is another, twice as
 # long after each further failure: a server that is cut off is listed for seconds yet.
-FAILED_PAUSE_MS = 1000
+FAILURE_COOLDOWN_MS = 1000
 # A dead server is off the list by then.
-FAILED_PAUSE_MAX_MS = 8000
+FAILURE_COOLDOWN_MAX_MS = 8000
 # Further failures in a row do not lengthen the pause.
-MAX_FAILURES = 8
+MAX_FAILURE_COUNT = 8
 
 
 class _Failure:
@@ -59,10 +59,10 @@
         """
         now_ms = self._clock.now_ms()
         upstream_by_name = {u.name: u for u in self._directory.usable(service)}
-        choices = (self._view(u, now_ms) for u in upstream_by_name.values())
+        choices = (self._candidate(u, now_ms) for u in upstream_by_name.values())
         return upstream_by_name.get(choose_upstream(choices, sent_to))
 
-    def _view(self, upstream, now_ms):
+    def _candidate(self, upstream, now_ms):
         failure = self._failure_by_name.get(upstream.name)
         return Candidate(
             name=upstream.name,
@@ -74,7 +74,7 @@
         )
 
     @contextlib.contextmanager
-    def counted(self, upstream):
+    def track_request(self, upstream):
         """Count a request as in flight for as long as the block runs.
 
         :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
@@ -88,7 +88,7 @@
             if not self._in_flight_by_name[name]:
                 del self._in_flight_by_name[name]
 
-    def note_answer(self, upstream, route):
+    def record_response(self, upstream, route):
         """Note that an upstream has answered.
 
         :param upstream: the upstream.
@@ -97,7 +97,7 @@
         self._failure_by_name.pop(upstream.name, None)
         self._answering_routes.add(route)
 
-    def note_timeout(self, upstream, route):
+    def record_timeout(self, upstream, route):
         """Note that an upstream gave no answer within the time that a try had.
 
         Some routes allow less time than their requests take. That they time out says
@@ -107,18 +107,18 @@
         :param route: the name of the request's route.
         """
         if route in self._answering_routes:
-            self.note_failure(upstream)
+            self.record_failure(upstream)
 
-    def note_failure(self, upstream):
+    def record_failure(self, upstream):
         """Note that an upstream gave no answer, or a spoilt one.
 
         :param upstream: the upstream.
         """
         now_ms = self._clock.now_ms()
         failure = self._failure_by_name.setdefault(upstream.name, _Failure())
-        pause_ms = min(FAILED_PAUSE_MAX_MS, FAILED_PAUSE_MS << failure.count)
-        failure.count = min(failure.count + 1, MAX_FAILURES)
-        failure.until_ms = now_ms + pause_ms
+        cooldown_ms = min(FAILURE_COOLDOWN_MAX_MS, FAILURE_COOLDOWN_MS << failure.count)
+        failure.count = min(failure.count + 1, MAX_FAILURE_COUNT)
+        failure.until_ms = now_ms + cooldown_ms
         for name, known in list(self._failure_by_name.items()):
-            if now_ms - known.until_ms > FAILED_PAUSE_MAX_MS:
+            if now_ms - known.until_ms > FAILURE_COOLDOWN_MAX_MS:
                 del self._failure_by_name[name]
--- a/test/bench_admission.py
+++ b/test/bench_admission.py
@@ -29,7 +29,7 @@
 
 class _NoAdmission:
     async def acquire(
-        self, account, upstream, cost_tokens, deadline, request_id, others=None
+        self, account, upstream, cost_tokens, deadline, request_id, alternatives=None
     ):
         return Grant("", upstream, account.name, cost_tokens, "")
 
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.request.admission import RENEW_MS, AdmissionClient
 from goldcrestmoor.request.admission_messages import RenewGrants
 from goldcrestmoor.request.admission_owner import AdmissionOwner
-from goldcrestmoor.request.slots import GRANT_MS
+from goldcrestmoor.request.slots import GRANT_LIFETIME_MS
 from test import _request_fakes as fakes
 from test._common import eventually
 
@@ -137,7 +137,7 @@
         waiting = self.start()
         await eventually(lambda: self.owner.queued("lm-1") == 1)
         self.lease.replace(fakes.upstream("lm-1", draining=True))
-        self.owner.sweep()
+        self.owner.clean_up()
         error = await self.error_of(waiting)
         self.assertEqual(error.kind, ErrorKind.NO_UPSTREAM)
         error = await self.error_of(self.acquire())
@@ -150,7 +150,7 @@
         self.leaving.add("lm-1")
         self.entry.release(grants[0], 10)
         await eventually(lambda: self.owner.in_flight("lm-1") == 1)
-        self.owner.sweep()
+        self.owner.clean_up()
         error = await self.error_of(waiting)
         self.assertEqual(error.kind, ErrorKind.NO_UPSTREAM)
 
@@ -169,16 +169,16 @@
         self.owner, self.entry = self.owner_by_host[OWNER], self.client_by_host[ENTRY]
         await self.fill()
         for _ in range(5):
-            self.clock.ms += GRANT_MS * 6 // 10
+            self.clock.ms += GRANT_LIFETIME_MS * 6 // 10
             await self.entry.renew()
             renewals = [m for _, m in self.network.sent if isinstance(m, RenewGrants)]
             self.assertEqual(len(renewals[-1].held), 2)
             await self.network.links_by_host[ENTRY].settle()
-            self.owner.sweep()
+            self.owner.clean_up()
             self.assertEqual(self.owner.in_flight("lm-1"), 2)
         self.assertEqual(len(renewals), 5)
-        self.clock.ms += GRANT_MS + 1000
-        self.owner.sweep()
+        self.clock.ms += GRANT_LIFETIME_MS + 1000
+        self.owner.clean_up()
         self.assertEqual(self.owner.in_flight("lm-1"), 0)
 
     async def test_a_new_owner_counts_what_the_old_one_granted(self):
--- a/test/test_fair_queue.py
+++ b/test/test_fair_queue.py
@@ -34,7 +34,7 @@
         for _ in range(count):
             entry = self.queue.pop()
             tokens[entry.account] += entry.cost_tokens
-            self.queue.settle(entry, entry.cost_tokens)
+            self.queue.record_usage(entry, entry.cost_tokens)
         return tokens
 
     def test_tokens_follow_the_shares(self):
@@ -68,7 +68,7 @@
             self.push("back", share=4, cost=200)
         started = collections.Counter()
         for _ in range(200):
-            self.queue.settle(flying.pop(0), 20)
+            self.queue.record_usage(flying.pop(0), 20)
             flying.append(self.queue.pop())
             started[flying[-1].account] += 1
         self.assertGreaterEqual(started["back"], 150)
@@ -103,7 +103,7 @@
         self.push("a")
         self.push("b")
         self.assertIs(self.queue.pop(), first)
-        self.queue.settle(first, 0)
+        self.queue.record_usage(first, 0)
         self.assertEqual({self.queue.pop().account for _ in range(2)}, {"a", "b"})
 
     def test_a_full_queue_refuses(self):
@@ -120,7 +120,7 @@
         for _ in range(10):
             self.clock.ms += 100
             self.queue.pop()
-            self.queue.started()
+            self.queue.record_start()
         self.push("a", within_ms=1200)
         with self.assertRaises(ServiceError) as caught:
             self.push("a", within_ms=1000)
@@ -128,16 +128,16 @@
         self.assertEqual(caught.exception.retry_after_ms, 1200)
 
     def test_what_could_not_end_in_time_waits_no_longer(self):
-        self.assertEqual(self.queue.start_within_ms("a", 5000), 5000)
+        self.assertEqual(self.queue.max_wait_ms("a", 5000), 5000)
         for _ in range(3):
             self.push("a")
             entry = self.queue.pop()
             self.clock.ms += 2000
-            self.queue.settle(entry, 10)
-        self.assertEqual(self.queue.start_within_ms("a", 5000), 3000)
-        self.assertGreater(self.queue.start_within_ms("a", 1000), 0)
+            self.queue.record_usage(entry, 10)
+        self.assertEqual(self.queue.max_wait_ms("a", 5000), 3000)
+        self.assertGreater(self.queue.max_wait_ms("a", 1000), 0)
         plain = self.make_queue(rejects_early=False)
-        self.assertEqual(plain.start_within_ms("a", 5000), 5000)
+        self.assertEqual(plain.max_wait_ms("a", 5000), 5000)
 
     def test_a_halted_queue_shows_in_the_expected_wait(self):
         self.test_a_deadline_that_cannot_be_met_is_refused_by_the_drain_rate()
@@ -149,5 +149,5 @@
         late = self.push("a", within_ms=5)
         self.push("a")
         self.clock.ms += 10
-        self.assertEqual(list(self.queue.expire()), [late])
+        self.assertEqual(list(self.queue.pop_expired()), [late])
         self.assertEqual(len(self.queue), 1)
--- a/test/test_idempotency_keys.py
+++ b/test/test_idempotency_keys.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.claim_sweeper import RETENTION_MS, ClaimSweeper
-from goldcrestmoor.request.claims import HOLD_MS, ClaimedKeys
+from goldcrestmoor.request.claims import SEND_WINDOW_MS, ClaimedKeys
 from goldcrestmoor.request.idempotency_keys import IdempotencyKeys
 from goldcrestmoor.request.key_mint import KeyMint
 from goldcrestmoor.request.minted_keys import MintedKeys
@@ -329,7 +329,7 @@
 
         async def frozen(checks, writes):
             result = await transact(checks, writes)
-            self.clock_by_host[HOSTS[0]].ahead_ms += HOLD_MS
+            self.clock_by_host[HOSTS[0]].ahead_ms += SEND_WINDOW_MS
             return result
 
         self.table.transact = frozen
--- a/test/test_outcome_cache.py
+++ b/test/test_outcome_cache.py
@@ -15,7 +15,7 @@
 BATCH = 100
 
 
-class KeyMemoryTest(unittest.IsolatedAsyncioTestCase):
+class OutcomeCacheTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_full_memory_fits_into_the_budget(self):
         clock = Clock()
         settings = _common.make_settings().idempotency
--- a/test/test_streaming.py
+++ b/test/test_streaming.py
@@ -98,8 +98,8 @@
 
     async def test_a_whole_stream_clears_its_engine(self):
         forwarder = self.make()
-        self.loads.note_failure(self.upstreams[0])
-        self.loads.note_failure(self.upstreams[1])
+        self.loads.record_failure(self.upstreams[0])
+        self.loads.record_failure(self.upstreams[1])
         with self.assertLogs("goldcrestmoor.forward", "INFO") as logged:
             self.assertIn(b"data: a", await self.read(forwarder))
         self.assertIn("Request s1 on route streams answered 200", logged.output[0])
--- a/test/test_upstream_loads.py
+++ b/test/test_upstream_loads.py
@@ -28,19 +28,19 @@
 
     def test_an_upstream_that_failed_is_left_alone(self):
         self.assertEqual(self.chosen(), "desk-1")
-        self.loads.note_failure(self.first)
+        self.loads.record_failure(self.first)
         self.assertEqual(self.chosen(), "desk-2")
-        self.loads.note_answer(self.first, "panels")
+        self.loads.record_response(self.first, "panels")
         self.assertEqual(self.chosen(), "desk-1")
 
     def test_a_route_that_is_always_late_says_nothing_of_its_upstreams(self):
         """An operator allows 1 s to requests that take 3; a hundred come a minute."""
-        self.loads.note_answer(self.first, "panels")
+        self.loads.record_response(self.first, "panels")
         for _ in range(20):
-            self.loads.note_timeout(self.first, "reports")
+            self.loads.record_timeout(self.first, "reports")
             self.assertEqual(self.chosen(), "desk-1")
 
     def test_a_route_that_is_late_for_once_does(self):
-        self.loads.note_answer(self.first, "panels")
-        self.loads.note_timeout(self.first, "panels")
+        self.loads.record_response(self.first, "panels")
+        self.loads.record_timeout(self.first, "panels")
         self.assertEqual(self.chosen(), "desk-2")
