--- a/goldcrestmoor/request/__init__.py
+++ b/goldcrestmoor/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Request handling: admission, placement, forwarding and idempotency keys."""
--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of admission: which request may use an upstream, and when."""
+"""The owner's side of admission: grants the slots of upstreams to requests."""
 
 import logging
 
@@ -25,20 +25,20 @@
 class AdmissionOwner:
     """Admit requests to the upstreams that this host owns.
 
-    The owner counts the grants that it gave instead of trusting the upstream's
-    late report of its load. Any host answers for any upstream that it is asked
-    for: hosts that disagree on the owner may over-admit for a moment.
+    The owner counts its own grants, because an upstream reports its load too late.
+    A host admits requests to any upstream on request, without a check that it is the
+    owner: hosts that disagree on the owner may over-admit for a short time.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``, or None.
-    :param is_leaving: tells whether the host list names an upstream as leaving.
-    :param order: the queues' order, of :mod:`goldcrestmoor.request.fair_queue`.
-    :param rejects_early: whether a request that can't be served in time is refused
-        when it comes.
+    :param is_leaving: returns whether the host list marks an upstream as leaving.
+    :param order: the order of the queues, from :mod:`goldcrestmoor.request.fair_queue`.
+    :param rejects_early: whether a request that can't be served in time is rejected
+        on arrival.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     """
@@ -87,13 +87,13 @@
             membership.on_change(self._on_membership)
 
     async def run(self):
-        """Drop what has run out, until cancelled."""
+        """Clean up periodically, until cancelled."""
         while True:
             await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             self.clean_up()
 
     def in_flight(self, upstream):
-        """Return how many grants are out for an upstream.
+        """Return the number of outstanding grants of an upstream.
 
         :param upstream: the upstream's name.
         """
@@ -101,7 +101,7 @@
         return len(slots.holders_by_id) if slots else 0
 
     def queued(self, upstream):
-        """Return how many requests wait for an upstream.
+        """Return the number of requests queued for an upstream.
 
         :param upstream: the upstream's name.
         """
@@ -109,17 +109,17 @@
         return len(slots.queue) if slots else 0
 
     async def on_acquire(self, sender, message):
-        """Answer an :class:`Acquire` with a slot, or hold it for a short while.
+        """Handle an :class:`Acquire`: grant a slot, or hold the poll for a short time.
 
-        :param sender: the asking host.
-        :param message: the request.
+        :param sender: the requesting host.
+        :param message: the :class:`Acquire`.
         :return: :class:`Granted` or ``StillQueued``.
         :raises ServiceError: ``NO_UPSTREAM``, ``OVERLOADED`` or ``QUEUE_TIMEOUT``.
         """
         with tracing.span("admit", upstream=message.upstream, account=message.account):
             name = message.upstream
             if not self._accepts_requests(name):
-                text = f"{name} takes no new work."
+                text = f"{name} accepts no new requests."
                 raise ServiceError(ErrorKind.NO_UPSTREAM, text)
             slots = self._get_slots(name)
             if message.grant_id in slots.holders_by_id:
@@ -129,7 +129,7 @@
                 if not message.may_queue and not self._has_idle_slot(name, slots):
                     text = f"{name} has no idle slot."
                     raise ServiceError(ErrorKind.OVERLOADED, text)
-                # What starts too late to end in time would cost tokens for nothing.
+                # A request that starts too late to end in time would waste tokens.
                 remaining_ms = min(
                     slots.queue.max_wait_ms(message.account, message.remaining_ms),
                     self._settings.queue_timeout_ms,
@@ -152,15 +152,15 @@
             return answer
 
     async def on_release(self, sender, message):
-        """Handle a :class:`Release` of another host.
+        """Handle a :class:`Release` from another host.
 
-        :param sender: the host that held it.
-        :param message: the message.
+        :param sender: the host that held the grant.
+        :param message: the :class:`Release`.
         """
         self.release(message)
 
     def release(self, message):
-        """Take a slot back, or give up a queued request.
+        """Release a slot, or cancel a queued request.
 
         :param message: the :class:`Release`.
         """
@@ -174,7 +174,7 @@
         self._grant_free_slots(message.upstream, slots)
 
     async def on_renew(self, sender, message):
-        """Keep a host's grants for another while.
+        """Extend the grants that a host holds.
 
         :param sender: the host that holds them.
         :param message: the :class:`RenewGrants`.
@@ -195,7 +195,7 @@
         return Done()
 
     def clean_up(self):
-        """Drop what has lapsed, and answer what can no longer be served."""
+        """Drop expired grants and polls, and reject requests that cannot be served."""
         upstreams = self._lease.view().configuration.upstreams_by_name
         for name, slots in list(self._slots_by_upstream.items()):
             slots.drop_lapsed()
@@ -207,7 +207,7 @@
                 del self._slots_by_upstream[name]
 
     def _on_membership(self):
-        """Drop what dead hosts hold."""
+        """Drop the grants and queued requests of dead hosts."""
         for name, slots in list(self._slots_by_upstream.items()):
             slots.drop_hosts(self._is_dead)
             self._grant_free_slots(name, slots)
@@ -244,7 +244,7 @@
     ):
         known = self._lease.view().configuration.accounts_by_name.get(account)
         if known is not None:
-            # The owner's own configuration goes before what the entry host says.
+            # The owner's configuration takes precedence over the entry host's message.
             kind, share = known.kind, known.share
         deadline = Deadline.after(self._clock, remaining_ms)
         now_ms = self._clock.now_ms()
--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -1,4 +1,4 @@
-"""The routes of applications, and of the keys that their callers use."""
+"""HTTP routes of applications and of idempotency keys."""
 
 import msgspec
 from blacksheep import Content, Request, Response, StreamedContent
@@ -16,10 +16,10 @@
 
 
 class NewKey(msgspec.Struct):
-    """A key that was just minted.
+    """The response to ``POST /v1/keys``.
 
-    :param key: the key.
-    :param lifetime_ms: how long it may be used, in milliseconds.
+    :param key: the minted key.
+    :param lifetime_ms: how long the key may be used, in milliseconds.
     """
 
     key: str
@@ -40,7 +40,7 @@
     :param authenticator: the ``Authenticator``.
     :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
     :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.IdempotencyKeys`.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.Settings`.
@@ -49,7 +49,7 @@
     async def forward(request: Request) -> Response:
         authenticator.account(request.headers)
         app_request = await _read(request)
-        # The body may have taken long to come, so the account is looked up again.
+        # The account is looked up again, because reading the body may take long.
         account = authenticator.account(request.headers)
         configuration = lease.view().configuration
         check_pool(account, configuration, app_request.pool, UpstreamKind.APPLICATION)
@@ -92,7 +92,7 @@
 
 
 async def _read(request):
-    # The target is taken as it came: decoding and encoding it could change it.
+    # The raw target is used: decoding and encoding it again could change it.
     raw = request.scope.get("raw_path") or request.scope["path"].encode()
     if not raw.startswith(PATH_PREFIX):
         raise ServiceError(ErrorKind.BAD_REQUEST, "The path is malformed.")
@@ -109,10 +109,10 @@
 
 
 def to_response(answer, method):
-    """Return the answer to a caller that an upstream's whole answer gives.
+    """Convert an upstream's complete response to the response to the caller.
 
     :param answer: an :class:`~goldcrestmoor.request.apps.AppResponse`.
-    :param method: the request's method.
+    :param method: the method of the request.
     """
     content_type = None
     length = None
@@ -125,7 +125,7 @@
         else:
             headers.append((name, value))
     if method == "HEAD" and length is not None:
-        # There is no body, but the length that the body would have.
+        # The response has no body, but states the length that the body would have.
         content = StreamedContent(content_type, _empty_body, length)
         return Response(answer.status, headers, content)
     if not answer.body:
--- a/goldcrestmoor/request/apps.py
+++ b/goldcrestmoor/request/apps.py
@@ -1,4 +1,4 @@
-"""Requests to application upstreams, answered whole."""
+"""Requests to application upstreams, with complete (not streamed) responses."""
 
 import logging
 
@@ -14,7 +14,7 @@
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 MAX_ATTEMPTS = 3
-# These are for this service alone, or are set anew for the upstream.
+# Headers meant for this service only, or set again for the upstream.
 STRIPPED_HEADERS = frozenset(
     {
         b"authorization",
@@ -30,12 +30,12 @@
 
 
 class AppRequest(msgspec.Struct, frozen=True):
-    """A request as the upstream gets it.
+    """A request as it is sent to the upstream.
 
     :param pool: the pool's name.
     :param method: the HTTP method.
     :param target: the path and query.
-    :param headers: ``(name, value)`` byte pairs, without the connection's own.
+    :param headers: ``(name, value)`` byte pairs, without hop-by-hop headers.
     :param body: the body.
     """
 
@@ -47,15 +47,15 @@
 
     @property
     def idempotent(self):
-        """Whether the method may be repeated."""
+        """Whether the method is idempotent."""
         return self.method in IDEMPOTENT_METHODS
 
 
 class AppResponse(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete response.
 
     :param status: the HTTP status.
-    :param headers: ``(name, value)`` byte pairs, without the connection's own.
+    :param headers: ``(name, value)`` byte pairs, without hop-by-hop headers.
     :param body: the body.
     """
 
@@ -65,7 +65,7 @@
 
 
 def forwarded_headers(headers):
-    """Return the headers that are passed on to the other side.
+    """Return the headers that are forwarded to the upstream or the caller.
 
     :param headers: ``(name, value)`` byte pairs.
     """
@@ -74,19 +74,19 @@
 
 
 class ApplicationClient:
-    """Send requests to application upstreams, straight from this host.
+    """Send requests directly from this host to application upstreams.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the ``HttpClient``.
     :param placement: a :class:`~goldcrestmoor.request.placement.Placement`.
-    :param budget: the ``RetryBudget``, here by pool.
+    :param budget: the ``RetryBudget``, which counts by pool.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     :param health: an ``UpstreamHealth``, or None.
-    :param head_timeout_ms: how long an upstream may take to begin its answer, in
-        milliseconds; only the request's deadline bounds it when left out.
-    :param on_leaving: called with the name of an upstream that answers that it is
-        leaving.
+    :param head_timeout_ms: the timeout for the response head, in milliseconds; without
+        it, only the request's deadline applies.
+    :param on_leaving: called with the name of an upstream whose response says that it
+        is leaving.
     """
 
     __slots__ = (
@@ -125,17 +125,18 @@
         self._on_leaving = on_leaving or (lambda name: None)
 
     async def fetch(self, request, deadline, request_id, check=None):
-        """Send a request and return its whole answer.
+        """Send a request and return the complete response.
 
-        A request whose method is not idempotent is sent again only after failures
-        in which no byte of it was written.
+        A request whose method is not idempotent is retried only after failures in
+        which none of its bytes was written.
 
         :param request: the :class:`AppRequest`.
-        :param deadline: when the answer must be there.
-        :param request_id: the request.
+        :param deadline: the time by which the response must be complete.
+        :param request_id: the request's id.
         :param check: called just before each send; raises to prevent it.
         :return: an :class:`AppResponse`.
-        :raises ServiceError: the failure that says most about whether it ran.
+        :raises ServiceError: the last failure in which the request may have run, else
+            the last failure.
         """
         self._budget.record_request(request.pool)
         failures = []
@@ -148,8 +149,8 @@
             except ServiceError as e:
                 raise error_to_report(failures or [e]) from None
             try:
-                # What has cut one connection off silently has often cut off all that
-                # are open, so a further attempt goes on a new one.
+                # A fault that silently breaks one open connection often breaks all of
+                # them, so a retry uses a new connection.
                 return await self._send(
                     upstream, request, deadline, request_id, check, fresh=bool(failures)
                 )
@@ -159,12 +160,15 @@
                 if not self._may_retry(request, failures, deadline):
                     raise error_to_report(failures) from None
                 self._metrics.retries.labels(e.code).inc()
-                text = f"Left {upstream.name} for another: {e.message}"
+                text = f"Retrying after a failure of {upstream.name}: {e.message}"
                 self._decisions.record("apps", request_id, text)
 
     async def _send(self, upstream, request, deadline, request_id, check, fresh):
         if deadline.passed():
-            raise ServiceError(ErrorKind.QUEUE_TIMEOUT, "No time was left to send it.")
+            raise ServiceError(
+                ErrorKind.QUEUE_TIMEOUT,
+                "The deadline passed before the request was sent.",
+            )
         text = f"Sent to {upstream.name} of {upstream.zone}."
         self._decisions.record("apps", request_id, text)
         started_ms = self._clock.now_ms()
@@ -224,5 +228,5 @@
 
 
 def _content_length(headers):
-    # What a HEAD answer says of the length is part of the answer itself.
+    # The length is part of the response to a HEAD request.
     return tuple(pair for pair in headers if pair[0].lower() == b"content-length")
--- a/goldcrestmoor/request/authentication.py
+++ b/goldcrestmoor/request/authentication.py
@@ -1,4 +1,4 @@
-"""Which client account a request comes from."""
+"""Authentication of client accounts and their access to pools."""
 
 import hmac
 
@@ -10,9 +10,9 @@
 
 
 class Authenticator:
-    """Find accounts by the tokens that callers send.
+    """Find client accounts by the tokens that callers send.
 
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     """
 
@@ -26,20 +26,20 @@
 
         :param headers: ``(name, value)`` byte pairs.
         :raises ServiceError: ``UNAUTHORIZED`` without a known token;
-            ``CONFIG_LAPSED`` when the host is cut off, since the account may be
-            one that is not served meanwhile.
+            ``CONFIG_LAPSED`` when the configuration lease has expired, because the
+            account may be one that is not served until it is renewed.
         """
         token_hash = util.hash_token(_read_token(headers))
         view = self._lease.view()
         found = None
-        # Every account is compared, so that the time taken tells nothing.
+        # Every account is compared, so that the duration reveals nothing.
         for account in view.configuration.accounts_by_name.values():
             if hmac.compare_digest(account.token_hash, token_hash):
                 found = account
         if found is not None:
             return found
         if view.lease_expired:
-            text = "This host is cut off and does not serve this token meanwhile."
+            text = "The configuration lease has expired; this token is not served."
             raise ServiceError(ErrorKind.CONFIG_LAPSED, text)
         raise ServiceError(ErrorKind.UNAUTHORIZED, "The token is unknown.")
 
@@ -48,13 +48,14 @@
     """Return a pool that an account may use.
 
     :param account: the account.
-    :param configuration: the configuration in force.
+    :param configuration: the current configuration.
     :param pool: the pool's name.
     :param kind: the kind of upstream that the route serves.
-    :raises ServiceError: ``FORBIDDEN`` when the account may not use it,
-        ``NOT_FOUND`` when there is none of that kind.
+    :raises ServiceError: ``FORBIDDEN`` when the account may not use the pool,
+        ``NOT_FOUND`` when no pool of that kind has the name.
     """
-    # The account's own list goes first, so that no account learns what others have.
+    # The account's pools are checked first, so that an account can't probe for the
+    # pools of others.
     if pool not in account.pools:
         raise ServiceError(ErrorKind.FORBIDDEN, "The account may not use this pool.")
     found = configuration.pools_by_name.get(pool)
@@ -64,21 +65,21 @@
 
 
 def check_access(view, account, pool):
-    """Raise when an account that was let in earlier may no longer use a pool.
+    """Raise when an account that was authorized earlier may no longer use a pool.
 
-    Call it right before an effect: the configuration may have changed while the
-    request's body came in, while it was queued or while the process was frozen.
+    Call this right before a side effect: the configuration may have changed while the
+    request's body was read, while the request was queued or during a process pause.
 
-    :param view: the
-        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView` of now.
-    :param account: the account as it was let in.
+    :param view: the current
+        :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
+    :param account: the account as it was when the request was authorized.
     :param pool: the pool's name.
     :raises ServiceError: ``UNAUTHORIZED``, ``CONFIG_LAPSED`` or ``FORBIDDEN``.
     """
     known = view.configuration.accounts_by_name.get(account.name)
     if known is None or known.token_hash != account.token_hash:
         kind = ErrorKind.CONFIG_LAPSED if view.lease_expired else ErrorKind.UNAUTHORIZED
-        raise ServiceError(kind, "The account is no longer served here.")
+        raise ServiceError(kind, "The account is no longer served by this host.")
     if pool not in known.pools:
         raise ServiceError(ErrorKind.FORBIDDEN, "The account may not use this pool.")
 
--- a/goldcrestmoor/request/claim_sweeper.py
+++ b/goldcrestmoor/request/claim_sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes claim rows that are too old to matter."""
+"""Deletes claim rows whose retention time has passed."""
 
 import logging
 
@@ -17,15 +17,15 @@
 
 
 class ClaimSweeper:
-    """Delete old claims, on the one live host that a hash of the fleet picks.
+    """Delete old claims, on one live host chosen by rendezvous hashing.
 
-    Two hosts that both think so do no harm: each deletes rows by their version.
+    Two hosts that are both chosen do no harm: rows are deleted by version.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: this host.
     :param table: the ``TableClient``.
     :param membership: the ``Membership``.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     """
 
@@ -39,7 +39,7 @@
         self._lease = lease
 
     async def run(self):
-        """Sweep from time to time, until cancelled."""
+        """Delete old claims periodically, until cancelled."""
         while True:
             await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             hosts = [record.id for record in self._membership.live()]
@@ -48,13 +48,13 @@
             try:
                 await self.sweep()
             except ServiceError as e:
-                log.info("Old claims were left for the next round: %s", e)
+                log.info("Old claims not deleted, retrying in the next cleanup: %s", e)
 
     async def sweep(self):
-        """Delete every claim that is older than its retention.
+        """Delete every claim that is older than the retention time.
 
         :return: how many rows were deleted.
-        :raises ServiceError: when the table service is out of reach.
+        :raises ServiceError: when the table service is unreachable.
         """
         deleted = 0
         for account in self._lease.view().configuration.accounts_by_name:
--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -1,4 +1,4 @@
-"""Requests under callers' own keys: a claim row is written before sending."""
+"""Requests with keys chosen by callers, claimed in a table before sending."""
 
 import logging
 import re
@@ -36,13 +36,13 @@
 class Claim(msgspec.Struct, frozen=True):
     """One row of the claims table.
 
-    :param token: what tells this claim from any other.
-    :param host: the host that holds it, and alone sends.
-    :param incarnation: which run of that host.
+    :param token: the unique id of this claim.
+    :param host: the host that holds the claim, and the only one that sends.
+    :param incarnation: the incarnation of that host.
     :param digest: the request's digest.
-    :param claimed_wall_ms: when it was claimed, on the wall clock.
+    :param claimed_wall_ms: the wall-clock time of the claim.
     :param state: ``running``, ``done`` or ``unknown``.
-    :param answer: the recorded answer; None while running, or when too large.
+    :param answer: the recorded response; None while running, or when too large.
     """
 
     token: str
@@ -55,11 +55,11 @@
 
 
 class ClaimedKeys:
-    """Send under keys that callers chose.
+    """Send requests with keys that callers chose.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: this host.
-    :param incarnation: this run of it.
+    :param incarnation: this host's incarnation.
     :param table: the ``TableClient``.
     :param memory: the :class:`~goldcrestmoor.request.outcome_cache.OutcomeCache`.
     :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
@@ -105,13 +105,13 @@
         links.register(AskOutcome, self._on_ask_outcome)
 
     async def run(self, account, key, request, deadline, request_id, check=None):
-        """Send a request under a caller's key, or return its recorded answer.
+        """Send a request with a caller's key, or return its recorded response.
 
         :param account: the account's name.
         :param key: the key.
         :param request: the :class:`~goldcrestmoor.request.apps.AppRequest`.
-        :param deadline: when the answer must be there.
-        :param request_id: the request.
+        :param deadline: the time by which the response must be complete.
+        :param request_id: the request's id.
         :param check: called just before each send; raises to prevent it.
         :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         :raises ServiceError: ``PLATFORM_UNAVAILABLE`` when no claim could be
@@ -134,7 +134,7 @@
         return await self._memory.wait(outcome, deadline)
 
     async def close(self):
-        """Give up writing outcomes."""
+        """Cancel the outcome writes that are still running."""
         await self._tasks.close()
 
     async def _claim_and_send(
@@ -153,9 +153,9 @@
             return await self._existing_outcome(key, claim, digest, deadline)
 
         def check():
-            # The clock also runs while the process is frozen.
+            # The clock also advances during a process pause.
             if send_window.passed():
-                text = "The claim ran out before the request was sent."
+                text = "The claim expired before the request was sent."
                 raise ServiceError(ErrorKind.QUEUE_TIMEOUT, text)
             if check_account is not None:
                 check_account()
@@ -172,7 +172,7 @@
         return answer
 
     async def _claim(self, key, own_claim, deadline):
-        """Write the claim, or find whose it is.
+        """Write the claim, or read the claim that already exists.
 
         :return: the row's :class:`Claim` and its version.
         """
@@ -189,7 +189,7 @@
                 if e.kind != ErrorKind.OUTCOME_UNKNOWN:
                     raise _platform_unavailable() from e
                 # The write may have taken effect, or may still do so. Writing the
-                # same claim again settles it: a row with this token is this claim.
+                # same claim again resolves this: a row with the token is this claim.
                 await self._clock.sleep_ms(backoff.next_ms())
                 continue
             if not isinstance(result, CheckFailed):
@@ -201,7 +201,7 @@
         raise _platform_unavailable()
 
     def _withdraw(self, key, own_claim):
-        """Give up a claim that may have been written: nothing is sent under it."""
+        """Withdraw a claim that may have been written; no request is sent with it."""
         if len(self._withdrawn_by_key) < MAX_WITHDRAWN_CLAIMS:
             self._withdrawn_by_key[key] = own_claim.token
             self._tasks.start(
@@ -230,21 +230,21 @@
                 del self._withdrawn_by_key[key]
 
     async def _existing_outcome(self, key, claim, digest, deadline):
-        """Return what came of a request that another claim stands for."""
+        """Return the outcome of the request that holds the existing claim."""
         if claim.digest != digest:
             text = "The key was used with another request."
             raise ServiceError(ErrorKind.KEY_REUSED, text)
         if claim.state == DONE:
             if claim.answer is None:
-                text = "It ran; the answer was not kept."
+                text = "The request ran; its response was too large to store."
                 raise ServiceError(ErrorKind.ANSWER_NOT_KEPT, text)
             return claim.answer
         if claim.token == self._withdrawn_by_key.get(key):
             raise _platform_unavailable()
-        # What a former run of this host did is not known here: asking this host
-        # would wait for the very request that asks.
+        # This host has no record of its earlier incarnations, and a call to itself
+        # would wait for the very request that makes the call.
         if claim.state == UNKNOWN or claim.host == self._host_id:
-            raise _outcome_unknown("It may have run.")
+            raise _outcome_unknown("The request may have run.")
         account, _, caller_key = key.partition("/")
         message = AskOutcome(account, caller_key, digest, deadline.remaining_ms())
         try:
@@ -254,7 +254,9 @@
         except ServiceError as e:
             if e.kind != ErrorKind.PEER_UNREACHABLE:
                 raise
-            raise _outcome_unknown("The host that sent it does not answer.") from e
+            raise _outcome_unknown(
+                "The host that sent the request is unreachable."
+            ) from e
         return answer.answer
 
     async def _on_ask_outcome(self, sender, message):
@@ -263,13 +265,13 @@
         if outcome is None and key in self._withdrawn_by_key:
             raise _platform_unavailable()
         if outcome is None:
-            raise _outcome_unknown("This host does not remember the request.")
+            raise _outcome_unknown("This host has no record of the request.")
         remaining_ms = reply_timeout_ms(message.remaining_ms)
         deadline = Deadline.after(self._clock, remaining_ms)
         return KeyedAnswer(await self._memory.wait(outcome, deadline))
 
     def _record(self, key, version, own_claim, state, answer=None):
-        """Write the outcome in the background; a claim that was not used is freed."""
+        """Write the outcome in the background; delete a claim that was not used."""
         value = None
         if state is not None:
             stored_answer = answer
@@ -287,13 +289,15 @@
             with self._memory.hold():
                 await self._table.transact(checks, [Write(TABLE, key, value)])
         except ServiceError as e:
-            log.info("The outcome of a claim was not written: %s", e)
+            log.info("Outcome of a claim not written: %s", e)
 
 
 def _platform_unavailable():
-    text = "No claim could be written. Use a key of POST /v1/keys meanwhile."
+    text = "No claim could be written. Use a key from POST /v1/keys in the meantime."
     return ServiceError(ErrorKind.PLATFORM_UNAVAILABLE, text)
 
 
 def _outcome_unknown(text):
-    return ServiceError(ErrorKind.OUTCOME_UNKNOWN, f"{text} It will not be sent.")
+    return ServiceError(
+        ErrorKind.OUTCOME_UNKNOWN, f"{text} The request will not be sent."
+    )
--- a/goldcrestmoor/request/completion_format.py
+++ b/goldcrestmoor/request/completion_format.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style form of completions, whole or streamed."""
+"""OpenAI-style completion requests and responses, complete or streamed."""
 
 import msgspec
 
@@ -9,13 +9,13 @@
 
 
 class CompletionRequest(msgspec.Struct):
-    """What a caller asks for.
+    """The body of a completion request.
 
     :param model: the pool's name.
     :param prompt: the prompt's text.
-    :param max_tokens: the most tokens to make, in tokens.
+    :param max_tokens: the most tokens to generate, in tokens.
     :param seed: the sampling seed.
-    :param stream: whether the answer comes in events.
+    :param stream: whether the response is streamed as events.
     """
 
     model: str
@@ -26,7 +26,7 @@
 
 
 class Choice(msgspec.Struct):
-    """The one text of an answer."""
+    """The only choice of a response."""
 
     index: int
     text: str
@@ -34,13 +34,13 @@
 
 
 class Usage(msgspec.Struct):
-    """What an answer cost, in tokens."""
+    """The usage of a response, in tokens."""
 
     completion_tokens: int
 
 
 class CompletionResponse(msgspec.Struct):
-    """A whole answer, with the weight versions that made it."""
+    """A complete response, with the weight versions that produced it."""
 
     id: str
     object: str
@@ -51,7 +51,7 @@
 
 
 class CompletionEvent(msgspec.Struct):
-    """One event of a streamed answer."""
+    """One event of a streamed response."""
 
     id: str
     object: str
@@ -66,11 +66,11 @@
 
 
 def complete_response(request_id, model, chunks):
-    """Return the whole answer that pieces make up, as JSON bytes.
+    """Return the complete response made up of token chunks, as JSON bytes.
 
-    :param request_id: the request.
+    :param request_id: the request's id.
     :param model: the pool's name.
-    :param chunks: all of its pieces.
+    :param chunks: all token chunks of the response.
     """
     text = "".join(chunk.text for chunk in chunks)
     reason = chunks[-1].finish_reason if chunks else ""
@@ -86,9 +86,9 @@
 
 
 def event(request_id, model, chunk):
-    """Return the event that carries one piece, as bytes.
+    """Return the event that carries one token chunk, as bytes.
 
-    :param request_id: the request.
+    :param request_id: the request's id.
     :param model: the pool's name.
     :param chunk: the :class:`~goldcrestmoor.request.token_chunk.TokenChunk`.
     """
@@ -107,7 +107,7 @@
     """Return the event that ends a failed stream, as bytes.
 
     :param error: the :class:`~goldcrestmoor.errors.ServiceError`.
-    :param request_id: the request.
+    :param request_id: the request's id.
     """
     value = _ErrorEvent(errors.to_body(error, request_id))
     return b"event: error\ndata: " + msgspec.json.encode(value) + b"\n\n"
--- a/goldcrestmoor/request/completion_routes.py
+++ b/goldcrestmoor/request/completion_routes.py
@@ -1,4 +1,4 @@
-"""The route of completions."""
+"""HTTP route of completions."""
 
 import contextlib
 import logging
@@ -33,14 +33,14 @@
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param authenticator: the ``Authenticator``.
     :param completions: the :class:`~.completions.Completions`.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     """
 
     async def count_outcome(chunks, account):
-        """Pass pieces on, and count how the completion ended."""
+        """Yield the token chunks, and count the completion by its outcome."""
         outcome = "given_up"
         try:
             async with contextlib.aclosing(chunks):
@@ -56,7 +56,7 @@
     async def complete(request: Request) -> Response:
         authenticator.account(request.headers)
         completion_request = await read_json(request, CompletionRequest)
-        # The body may have taken long to come, so the account is looked up again.
+        # The account is looked up again, because reading the body may take long.
         account = authenticator.account(request.headers)
         if not 0 < completion_request.max_tokens <= MAX_TOKENS:
             raise ServiceError(ErrorKind.BAD_REQUEST, "max_tokens is out of range.")
@@ -87,7 +87,7 @@
 
 
 async def _stream_response(chunks, request_id, model):
-    # An error before the first piece still gets a status of its own.
+    # An error before the first token chunk is still reported by the HTTP status.
     first = await anext(chunks, None)
 
     async def events():
@@ -101,8 +101,10 @@
             except ServiceError as e:
                 yield error_event(e, request_id)
             except Exception:
-                log.exception("A stream failed unexpectedly.")
-                error = ServiceError(ErrorKind.INTERNAL, "An unexpected error.")
+                log.exception("A completion stream failed unexpectedly.")
+                error = ServiceError(
+                    ErrorKind.INTERNAL, "An unexpected error occurred."
+                )
                 yield error_event(error, request_id)
 
     return Response(200, None, StreamedContent(b"text/event-stream", events))
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -1,4 +1,4 @@
-"""Text from a pool of engines, carried from one engine to the next on failure."""
+"""Completions by a pool of engines, with failover to another engine mid-stream."""
 
 import contextlib
 import logging
@@ -30,7 +30,7 @@
 
 
 class _Progress:
-    """How far one completion has come, over all its engines."""
+    """The progress of one completion across all engines used for it."""
 
     __slots__ = ("text", "tokens_left", "version", "upstream", "finished", "avoid") + (
         "failures",
@@ -56,21 +56,21 @@
 
 
 class Completions:
-    """Generate text.
+    """Generate completions.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param engines: the :class:`~goldcrestmoor.adapters.engine.EngineClient`.
     :param admission: the :class:`~goldcrestmoor.request.admission.AdmissionClient`.
     :param placement: the :class:`~goldcrestmoor.request.placement.Placement`.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
-    :param budget: the ``RetryBudget``, here by pool.
+    :param budget: the ``RetryBudget``, which counts by pool.
     :param settings: the :class:`~goldcrestmoor.settings.LimitSettings`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param decisions: the :class:`~goldcrestmoor.process.decision_log.DecisionLog`.
     :param health: an ``UpstreamHealth``, or None.
-    :param resumes: whether a failed stream goes on elsewhere from its tokens; else
-        it fails.
+    :param resumes: whether a failed stream resumes on another engine after the tokens
+        generated so far; if not, it fails.
     """
 
     __slots__ = (
@@ -131,34 +131,35 @@
         avoid=(),
         prefix_key="",
     ):
-        """Yield the pieces of one completion; closing it cancels the stream.
+        """Yield the token chunks of one completion; closing it cancels the stream.
 
         :param account: the ``Account``.
         :param pool: the pool's name.
         :param prompt: the prompt's text.
-        :param max_tokens: the most tokens still to make, in tokens.
+        :param max_tokens: the most tokens still to generate, in tokens.
         :param seed: the sampling seed.
-        :param deadline: when all must have been made.
-        :param request_id: the request.
-        :param resume_text: what has been made already.
-        :param min_version: the oldest weight version that is of use.
-        :param avoid: names of engines to pass over.
-        :param prefix_key: what prompts with a common prefix share.
+        :param deadline: the time by which the completion must have ended.
+        :param request_id: the request's id.
+        :param resume_text: the output generated so far.
+        :param min_version: the oldest weight version accepted.
+        :param avoid: names of engines to skip.
+        :param prefix_key: a key common to prompts that share a prefix.
         :raises ServiceError: ``VERSION_CONFLICT`` when the engines' tokens are older
-            than ``min_version``; else what admission or the last engine gave.
+            than ``min_version``; else the error of admission or of the engines.
         """
         self._budget.record_request(pool)
         progress = _Progress(resume_text, max_tokens, avoid)
         while not progress.finished:
             if progress.tokens_left <= 0:
-                # The engine failed between the last token and its end mark.
+                # The engine failed between the last token and its end-of-stream marker.
                 version, upstream = progress.version, progress.upstream
                 yield TokenChunk("", 0, version, upstream, FINISH_LENGTH)
                 return
             upstream = self._choose(pool, prefix_key, progress)
             cost = len(prompt + progress.text) // CHARACTERS_PER_TOKEN
             cost += progress.tokens_left
-            # What waits counts too, so that work started at once is spread.
+            # Queued requests count as load too, so that requests that start at the
+            # same time are distributed.
             self._placement.begin(upstream)
             try:
                 grant = await self._admission.acquire(
@@ -191,7 +192,7 @@
                 self._fail_over(e, pool, upstream, progress, deadline, request_id)
 
     async def close(self):
-        """Give up what still runs in the background."""
+        """Cancel the background tasks."""
         await self._tasks.close()
 
     def _choose(self, pool, prefix_key, progress):
@@ -200,22 +201,22 @@
         except ServiceError:
             if not progress.failures:
                 raise
-            # An attempt that may have run is never reported as not run.
+            # A request that may have run in an attempt is never reported as not run.
             raise error_to_report(progress.failures) from None
 
     def _skip_upstream(self, error, upstream, progress, request_id):
-        """Go to another engine when one takes no work, or raise its error."""
-        # An upstream that takes no new work says nothing of the load on the others.
+        """Skip an engine that rejected the request, or raise its error."""
+        # An upstream that accepts no new requests is no sign of load on the others.
         progress.rejections += error.kind != ErrorKind.NO_UPSTREAM
         if error.kind not in REJECTION_ERRORS or progress.rejections >= MAX_REJECTIONS:
             raise error_to_report([*progress.failures, error])
         progress.failures.append(error)
         progress.avoid.add(upstream.name)
-        text = f"Passed over {upstream.name}: {error.message}"
+        text = f"Skipped {upstream.name}: {error.message}"
         self._decisions.record("completions", request_id, text)
 
     def _fail_over(self, error, pool, upstream, progress, deadline, request_id):
-        """Go on with another engine after a failure, or raise it."""
+        """Prepare the failover to another engine, or raise the error."""
         progress.failures.append(error)
         if error.kind in ACCESS_ERRORS:
             raise error_to_report(progress.failures)
@@ -227,20 +228,20 @@
             raise error_to_report(progress.failures)
         if len(progress.failures) > MAX_FAILURES or deadline.passed():
             raise error_to_report(progress.failures)
-        # An engine that keeps its old weights gave no token of use, and goes on being
-        # chosen until it swaps: leaving it is no retry of work that it did.
+        # An engine with outdated weights gave no usable token, and keeps being chosen
+        # until it swaps weights: leaving it repeats no work, so it costs no retry.
         is_outdated = error.kind == ErrorKind.VERSION_CONFLICT
         if not is_outdated and not self._budget.try_retry(pool):
             raise error_to_report(progress.failures)
         self._metrics.retries.labels(error.code).inc()
         progress.avoid.add(upstream.name)
-        text = f"Moved on from {upstream.name} with {len(progress.text)} characters"
+        text = f"Failed over from {upstream.name} after {len(progress.text)} characters"
         self._decisions.record("completions", request_id, f"{text}: {error.message}")
 
     async def _stream_from(
         self, grant, account, pool, prompt, seed, deadline, progress
     ):
-        """Yield the pieces of one engine's stream, under a granted slot."""
+        """Yield the token chunks of one engine's stream, with a granted slot."""
         upstream = grant.upstream
         stream_id = util.new_id()
         model = self._lease.view().configuration.pools_by_name[pool].model
@@ -262,7 +263,7 @@
         )
         try:
             if not self._placement.accepts_requests(upstream.name):
-                text = f"{upstream.name} takes no new work."
+                text = f"{upstream.name} accepts no new requests."
                 raise ServiceError(ErrorKind.NO_UPSTREAM, text)
             check_access(self._lease.view(), account, pool)
             in_flight = True
@@ -290,7 +291,7 @@
                 upstream, stream_id, timeout_ms=CANCEL_TIMEOUT_MS
             )
         except ServiceError as e:
-            log.info("Could not cancel a stream at %s: %s", upstream.name, e)
+            log.info("Stream on %s not cancelled: %s", upstream.name, e)
 
     def _record(self, upstream, succeeded, first_ms=None):
         if self._health is not None:
--- a/goldcrestmoor/request/event_stream.py
+++ b/goldcrestmoor/request/event_stream.py
@@ -1,29 +1,29 @@
-"""Server-sent events, taken apart as they come."""
+"""Incremental parser of server-sent events."""
 
 import msgspec
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
 
-# Far over any event of an engine; a longer line means that the stream is broken.
+# Far above the size of any engine's event; a longer one means a broken stream.
 MAX_EVENT_BYTES = 1 << 20
 
 
 class EventFields(msgspec.Struct, frozen=True):
-    """The names of the lines that an event holds beside its data.
+    """The names of an event's additional fields.
 
-    :param version: the line with the weight version from this event on.
+    :param version: the field with the weight version as of this event.
     """
 
     version: str
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One whole event.
+    """One complete event.
 
-    :param id: its id, or an empty string.
-    :param data: its data.
-    :param version: the weight version from this event on, where it says so.
-    :param raw: its bytes as they came, with the blank line at its end.
+    :param id: the event's id, or an empty string.
+    :param data: the event's data.
+    :param version: the weight version as of this event, or None when not stated.
+    :param raw: the bytes as received, with the terminating blank line.
     """
 
     id: str
@@ -33,7 +33,7 @@
 
 
 class EventParser:
-    """Turn chunks of bytes into events; an event that is cut off never counts.
+    """Parse bytes into events; a truncated event is never yielded.
 
     :param fields: the :class:`EventFields`.
     """
@@ -46,14 +46,14 @@
 
     @property
     def has_partial_event(self):
-        """Whether an event has begun and not ended."""
+        """Whether an event has begun but not ended."""
         return bool(self._buffer.strip())
 
     def feed(self, chunk):
-        """Yield the events that a chunk completes.
+        """Yield the events that the next bytes complete.
 
         :param chunk: the bytes.
-        :raises ServiceError: ``UPSTREAM_FAILED`` when they are no events.
+        :raises ServiceError: ``UPSTREAM_FAILED`` when the bytes are not valid events.
         """
         self._buffer += chunk
         while True:
@@ -70,14 +70,17 @@
             if raw.strip():
                 yield self._decode(raw)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise ServiceError(ErrorKind.UPSTREAM_FAILED, "An event is too long.")
+            raise ServiceError(
+                ErrorKind.UPSTREAM_FAILED,
+                f"An event is longer than {MAX_EVENT_BYTES} bytes.",
+            )
 
     def _decode(self, raw):
         event_id, data, version = "", [], None
         try:
             lines = raw.decode().splitlines()
         except UnicodeDecodeError as e:
-            text = "An event is not text."
+            text = "An event is not valid UTF-8."
             raise ServiceError(ErrorKind.UPSTREAM_FAILED, text) from e
         for line in lines:
             name, separator, value = line.partition(":")
--- a/goldcrestmoor/request/fair_queue.py
+++ b/goldcrestmoor/request/fair_queue.py
@@ -1,4 +1,4 @@
-"""Weighted fair queueing of one upstream's requests across accounts."""
+"""Weighted fair queueing of an upstream's requests across client accounts."""
 
 import collections
 import itertools
@@ -18,11 +18,11 @@
 
 
 class WeightedFair(msgspec.Struct, frozen=True):
-    """The account that is furthest behind its share goes next."""
+    """The account with the lowest virtual time goes next."""
 
 
 class FirstComeFirstServed(msgspec.Struct, frozen=True):
-    """The request that has waited longest goes next, whosever it is."""
+    """The request that has waited longest goes next, whatever its account."""
 
 
 WEIGHTED_FAIR = WeightedFair()
@@ -31,18 +31,18 @@
 class FairQueue:
     """Order requests so that each account gets its share of the tokens.
 
-    Each account has a virtual time, which grows by the tokens that its requests used
-    over its weight, and by the expected cost of those in flight; the account that is
-    furthest behind goes next. An account that was idle joins at the least virtual
-    time of the others, with what they have in flight left out: its share was lent
-    out meanwhile, and is its own again with the next slots. Application accounts
-    together get at least the floor's part of the weight.
+    Each account has a virtual time: the tokens that its requests have used, divided by
+    its weight. The account whose virtual time, plus the expected cost of its requests
+    in flight, is lowest goes next. An account that was idle starts at no less than the
+    lowest virtual time of the busy accounts, without their requests in flight: others
+    use an idle share, and the account gets it back with the next free slots.
+    Application accounts together get a guaranteed minimum share of the weight.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param max_length: the most requests that wait.
-    :param floor_percent: the application accounts' least part.
+    :param max_length: the maximum number of queued requests.
+    :param floor_percent: the minimum share of all application accounts, in percent.
     :param order: one of the orders of this module.
-    :param rejects_early: whether a request is refused when it would wait longer than
+    :param rejects_early: whether a request is rejected when its expected wait exceeds
         its deadline or when the queue is full.
     """
 
@@ -101,7 +101,7 @@
 
         :param entry: the :class:`~goldcrestmoor.request.queue_entry.Entry`.
         :raises ServiceError: ``OVERLOADED`` when the queue is full or too slow for
-            the entry's deadline, with when to come back.
+            the entry's deadline, with the time after which to retry.
         """
         if self._rejects_early:
             self._check_capacity(entry)
@@ -117,13 +117,13 @@
         is_full = self._length >= self._max_length
         if is_full or wait_ms > entry.deadline.remaining_ms():
             after_ms = max(MIN_RETRY_AFTER_MS, math.ceil(wait_ms))
-            text = f"The queue is about {after_ms} ms long."
+            text = f"The queue is full or too slow; retry after {after_ms} ms."
             raise ServiceError(ErrorKind.OVERLOADED, text, after_ms)
 
     def pop(self):
-        """Take the request that goes next, or None.
+        """Remove and return the entry that goes next, or None.
 
-        Entries whose deadline has passed are left to :meth:`pop_expired`.
+        Expired entries are not skipped here: call :meth:`pop_expired` first.
         """
         if not self._queues_by_account:
             return None
@@ -148,10 +148,10 @@
         return self._virtual_time_by_account[account] + pending_cost
 
     def record_usage(self, entry, used_tokens):
-        """Count what a request used in the end, in place of its expected cost.
+        """Replace the expected cost of a request by its actual cost.
 
-        :param entry: its entry, which is no longer in flight.
-        :param used_tokens: how many tokens it used.
+        :param entry: the request's entry, which is no longer in flight.
+        :param used_tokens: how many tokens the request used.
         """
         if entry.account not in self._virtual_time_by_account:
             self._activate(entry.account)
@@ -167,10 +167,10 @@
             self._pending_cost_by_account[entry.account] = remaining
 
     def max_wait_ms(self, account, remaining_ms):
-        """Return how long a request may wait and still end in time.
+        """Return how long a request may wait and still end in time, in milliseconds.
 
         :param account: the account's name.
-        :param remaining_ms: the time until it must have ended, in milliseconds.
+        :param remaining_ms: the time until the request's deadline, in milliseconds.
         """
         if not self._rejects_early:
             return remaining_ms
@@ -187,7 +187,7 @@
             known.popitem(last=False)
 
     def record_start(self):
-        """Note that a queued entry was started, for the drain rate."""
+        """Record the start of a queued entry, to measure the drain rate."""
         now_ms = self._clock.now_ms()
         if self._last_started_ms is not None:
             interval_ms = now_ms - self._last_started_ms
@@ -196,20 +196,20 @@
             self._start_interval_ms += EWMA_ALPHA * (
                 interval_ms - self._start_interval_ms
             )
-        # Only the time between two starts of a busy queue tells its rate.
+        # Only the time between two starts of a non-empty queue measures its rate.
         self._last_started_ms = now_ms if self._length else None
 
     def expected_wait_ms(self, entry):
         """Return how long an entry would wait, by the measured drain rate.
 
-        :param entry: its entry, not yet queued.
+        :param entry: the entry, not yet queued.
         :return: milliseconds; zero while no rate has been measured.
         """
         if not self._length:
             return 0
         interval_ms = self._start_interval_ms or 0
         if self._last_started_ms is not None:
-            # A queue that has come to a halt shows in the time since its last start.
+            # The time since the last start reveals a queue that has stalled.
             interval_ms = max(interval_ms, self._clock.now_ms() - self._last_started_ms)
         if isinstance(self._order, FirstComeFirstServed):
             return (self._length + 1) * interval_ms
@@ -219,7 +219,7 @@
         return (ahead + 1) * interval_ms
 
     def remove(self, entry):
-        """Drop a queued entry; nothing happens when it is not queued.
+        """Remove an entry; no-op when it is not queued.
 
         :param entry: the :class:`~goldcrestmoor.request.queue_entry.Entry`.
         """
@@ -228,14 +228,14 @@
             self._remove(entry)
 
     def pop_expired(self):
-        """Take out and yield the entries whose deadline has passed."""
+        """Remove and yield the entries whose deadline has passed."""
         for entry in list(self.entries()):
             if entry.deadline.passed():
                 self._remove(entry)
                 yield entry
 
     def clear(self):
-        """Take out and yield every entry."""
+        """Remove and yield every entry."""
         for entry in list(self.entries()):
             self._remove(entry)
             yield entry
@@ -256,7 +256,7 @@
         busy = self._queues_by_account.keys() | self._pending_cost_by_account.keys()
         others = [self._virtual_time_by_account[name] for name in busy - {account}]
         if not busy:
-            # Nobody is owed anything once all work is done.
+            # Past usage no longer counts once all requests are done.
             self._virtual_time_by_account.clear()
         known = self._virtual_time_by_account.get(account, 0.0)
         self._virtual_time_by_account[account] = max(known, min(others, default=0.0))
@@ -268,7 +268,8 @@
                     break
 
     def _share_by_kind(self, entry):
-        # The heads stand for their accounts; the entry's own may not be queued yet.
+        # The first entry of each queue gives its account's kind and share; the given
+        # entry may not be queued yet.
         share_by_kind = collections.Counter()
         for account, queue in self._queues_by_account.items():
             if account != entry.account:
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward one request to upstreams of its route, and give its whole answer."""
+"""Forwarding of a request to the upstreams of its route, with a complete response."""
 
 import logging
 
@@ -14,17 +14,17 @@
 log = logging.getLogger("goldcrestmoor.forward")
 
 SERVER_ERROR = 500
-# Several round trips between zones; a server that is cut off takes no longer to pass.
+# Several round trips between zones; also bounds the time lost on a partitioned server.
 CONNECT_TIMEOUT_MS = 150
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """A caller's request, read whole.
+    """A caller's complete request.
 
-    :param id: the caller's id of it.
+    :param id: the request's id, given by the caller.
     :param method: the HTTP method.
-    :param target: the path and query, as they came.
-    :param headers: ``(name, value)`` byte pairs that are passed on.
+    :param target: the path and query, as received.
+    :param headers: ``(name, value)`` byte pairs to forward.
     :param body: the body.
     """
 
@@ -36,10 +36,10 @@
 
 
 class FailedAttempt(msgspec.Struct, frozen=True):
-    """How a try ended that gave no answer to pass on.
+    """The outcome of an attempt that gave no response to forward.
 
     :param ran: whether the upstream ran the request.
-    :param reason: why, as a sentence.
+    :param reason: the reason, as a sentence.
     """
 
     ran: Ran
@@ -47,11 +47,11 @@
 
 
 class RequestAttempts:
-    """The upstreams that one request has been sent to, and what is known of it.
+    """The attempts of one request: the upstreams it was sent to, and its run state.
 
     :param request: the :class:`CallerRequest`.
     :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-    :param deadline: when the answer must be there.
+    :param deadline: the time by which the response must be complete.
     :param loads: the :class:`~goldcrestmoor.request.upstream_loads.UpstreamLoads`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
@@ -82,20 +82,20 @@
         self._total_ms = deadline.remaining_ms()
 
     def next_upstream(self):
-        """Return the upstream to try next.
+        """Return the upstream for the next attempt.
 
-        :raises ServiceError: ``NO_UPSTREAM`` when the service has none to try.
+        :raises ServiceError: ``NO_UPSTREAM`` when the service has no upstream left.
         """
         upstream = self._loads.choose(self._service, self._sent_to)
         if upstream is None:
-            text = f"No server of {self._service} is there."
+            text = f"No server of {self._service} is available."
             after_ms = retry_decision.RETRY_AFTER_NONE_MS
             raise ServiceError(ErrorKind.NO_UPSTREAM, text, after_ms)
         self._sent_to.append(upstream.name)
         return upstream
 
     def timeout_ms(self):
-        """Return how long the current try may wait, in milliseconds."""
+        """Return the timeout of the current attempt, in milliseconds."""
         return retry_decision.attempt_timeout_ms(
             self.route.retry_policy,
             self._possible_runs,
@@ -106,10 +106,10 @@
         )
 
     def retry_or_raise(self, failure):
-        """Decide what follows a try without an answer; return to send it again.
+        """Decide what follows a failed attempt; return when the request is retried.
 
         :param failure: the :class:`FailedAttempt`.
-        :raises ServiceError: when the request is given up.
+        :raises ServiceError: when the request is not retried.
         """
         if failure.ran is not Ran.NOT_RUN:
             self._ran = Ran.UNKNOWN
@@ -139,7 +139,7 @@
                 raise ServiceError(kind, failure.reason, retry_after_ms)
 
     def record_error(self, upstream, error):
-        """Take in that a try of an upstream brought no answer.
+        """Record that an attempt got no response.
 
         :param upstream: the upstream.
         :param error: the :class:`~goldcrestmoor.errors.ServiceError`.
@@ -150,12 +150,12 @@
             self._loads.record_failure(upstream)
 
     def record_response(self, status):
-        """Log the answer that is passed on.
+        """Log the response that is forwarded.
 
         :param status: its HTTP status.
         """
         log.info(
-            "Request %s on route %s answered %d by %s, upstream %d of it, %d ms left.",
+            "Request %s on route %s answered %d by %s, upstream %d tried, %d ms left.",
             self.request.id,
             self.route.name,
             status,
@@ -169,11 +169,11 @@
 
 
 class Sender:
-    """What the ways to send a request to upstreams have in common.
+    """Base class of the forwarders.
 
     :param http: the ``HttpClient``.
     :param loads: the :class:`~goldcrestmoor.request.upstream_loads.UpstreamLoads`.
-    :param dialect: how the upstreams are spoken to.
+    :param dialect: the header conventions of the upstreams.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
 
@@ -186,7 +186,7 @@
         self._metrics = metrics
 
     def _new_attempts(self, request, route, deadline):
-        """Return the record of a request that has not been sent yet."""
+        """Return the attempts of a request that has not been sent yet."""
         return RequestAttempts(
             request=request,
             route=route,
@@ -197,19 +197,20 @@
 
 
 class Forwarder(Sender):
-    """Send requests to upstreams, straight from this host."""
+    """Forward requests directly from this host to upstreams."""
 
     __slots__ = ()
 
     async def forward(self, request, route, deadline):
-        """Return an upstream's whole answer.
+        """Return an upstream's complete response.
 
         :param request: the :class:`CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-        :param deadline: when the answer must be there.
+        :param deadline: the time by which the response must be complete.
         :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
-        :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when it surely was
-            not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may have.
+        :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when the request was
+            certainly not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may
+            have been.
         """
         attempts = self._new_attempts(request, route, deadline)
         while True:
@@ -255,7 +256,7 @@
             return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
         if not self._dialect.is_genuine(attempts.request.id, status, headers):
             self._loads.record_failure(upstream)
-            return FailedAttempt(Ran.UNKNOWN, "The answer is spoilt or another's")
+            return FailedAttempt(Ran.UNKNOWN, "The response is spoilt or another's")
         self._loads.record_response(upstream, attempts.route.name)
         if (
             status == SERVER_ERROR
--- a/goldcrestmoor/request/idempotency_keys.py
+++ b/goldcrestmoor/request/idempotency_keys.py
@@ -1,10 +1,10 @@
-"""Idempotency keys: a caller's request is sent at most once under one."""
+"""Idempotency keys: a request is sent at most once with the same key."""
 
 from goldcrestmoor.request.key_mint import is_minted
 
 
 class IdempotencyKeys:
-    """Send requests under keys of either kind.
+    """Send requests with keys of either kind, minted or chosen by the caller.
 
     :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
     :param bound: the :class:`~goldcrestmoor.request.minted_keys.MintedKeys`.
@@ -26,13 +26,13 @@
         return self._mint.mint(account)
 
     async def run(self, account, key, request, deadline, request_id, check=None):
-        """Send a request under a key, or return its recorded answer.
+        """Send a request with a key, or return its recorded response.
 
         :param account: the account's name.
         :param key: the key.
         :param request: the :class:`~goldcrestmoor.request.apps.AppRequest`.
-        :param deadline: when the answer must be there.
-        :param request_id: the request.
+        :param deadline: the time by which the response must be complete.
+        :param request_id: the request's id.
         :param check: called just before each send; raises to prevent it.
         :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         """
--- a/goldcrestmoor/request/key_messages.py
+++ b/goldcrestmoor/request/key_messages.py
@@ -1,4 +1,4 @@
-"""What hosts say to each other about idempotency keys."""
+"""Messages between hosts about idempotency keys."""
 
 from goldcrestmoor import wire
 from goldcrestmoor.request.apps import AppRequest, AppResponse
@@ -7,20 +7,20 @@
 
 
 def reply_timeout_ms(remaining_ms):
-    """Return the time in which a peer must answer, so that its answer still arrives.
+    """Return the time within which a peer must reply for its reply to arrive in time.
 
-    :param remaining_ms: the asking host's remaining time, in milliseconds.
+    :param remaining_ms: the calling host's remaining time, in milliseconds.
     """
     return remaining_ms - min(REPLY_MARGIN_MS, remaining_ms // 2)
 
 
 class SendWithKey(wire.Message, frozen=True):
-    """Send a request in the name of a key that the receiver minted.
+    """Send a request with a key that the receiver minted.
 
     :param account: the account's name.
     :param key: the key.
     :param request: the request.
-    :param remaining_ms: the time left to answer it, in milliseconds.
+    :param remaining_ms: the time left for the response, in milliseconds.
     :param request_id: the request's id.
     """
 
@@ -32,12 +32,12 @@
 
 
 class AskOutcome(wire.Message, frozen=True):
-    """Ask for the outcome of a request that the receiver claimed.
+    """Request the outcome of a request that the receiver claimed.
 
     :param account: the account's name.
     :param key: the key.
     :param digest: the digest of the request.
-    :param remaining_ms: how long to wait for it, in milliseconds.
+    :param remaining_ms: how long to wait for the outcome, in milliseconds.
     """
 
     account: str
@@ -47,6 +47,6 @@
 
 
 class KeyedAnswer(wire.Message, frozen=True):
-    """The recorded answer of a request with a key."""
+    """The recorded response to a request with a key."""
 
     answer: AppResponse
--- a/goldcrestmoor/request/key_mint.py
+++ b/goldcrestmoor/request/key_mint.py
@@ -1,4 +1,4 @@
-"""Keys that are bound to the host that minted them."""
+"""Keys that are bound to the host that mints them."""
 
 import hashlib
 import hmac
@@ -14,11 +14,11 @@
 
 
 class MintedKey(msgspec.Struct, frozen=True):
-    """A key's parts.
+    """The fields of a key.
 
-    :param host: the host that minted it, and alone sends with it.
-    :param incarnation: which run of that host minted it.
-    :param minted_ms: when, on that host's clock.
+    :param host: the host that minted the key, and the only one that sends with it.
+    :param incarnation: the incarnation of that host.
+    :param minted_ms: the time of minting, on that host's clock.
     """
 
     host: str
@@ -27,7 +27,7 @@
 
 
 def is_minted(key):
-    """Tell whether a key claims to have been minted by a host.
+    """Return whether a key has the form of a minted key; the MAC is not checked.
 
     :param key: the key's text.
     """
@@ -35,12 +35,12 @@
 
 
 class KeyMint:
-    """Mint keys and check them.
+    """Mint and verify keys.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: this host.
-    :param incarnation: this run of it.
-    :param secret: what all hosts of the fleet share, as text.
+    :param incarnation: this host's incarnation.
+    :param secret: the secret shared by all hosts of the fleet, as text.
     """
 
     __slots__ = ("_clock", "_host_id", "_incarnation", "_secret")
@@ -52,7 +52,7 @@
         self._secret = hashlib.sha256(b"idempotency keys" + secret.encode()).digest()
 
     def mint(self, account):
-        """Return a new key of an account.
+        """Return a new key for an account.
 
         :param account: the account's name.
         """
@@ -66,23 +66,27 @@
         return f"{text}.{self._mac(text, account)}"
 
     def parse(self, key, account):
-        """Return the parts of a key.
+        """Verify a key and return its fields.
 
         :param key: the key's text.
-        :param account: the account that uses it.
-        :raises ServiceError: ``BAD_REQUEST`` when it was not minted for it.
+        :param account: the account that uses the key.
+        :raises ServiceError: ``BAD_REQUEST`` when the key was not minted for the
+            account.
         """
         text, _, mac = key.rpartition(".")
         if not hmac.compare_digest(mac.encode(), self._mac(text, account).encode()):
-            raise ServiceError(ErrorKind.BAD_REQUEST, "The key was not minted here.")
-        # A host's name may hold dots, so the parts are taken from the end.
+            raise ServiceError(
+                ErrorKind.BAD_REQUEST,
+                "The key was not minted by this service for this account.",
+            )
+        # A host's name may contain dots, so the fields are split from the end.
         host, incarnation, minted_ms, _ = text[len(PREFIX) :].rsplit(
             ".", FIELD_COUNT - 2
         )
         return MintedKey(host, incarnation, int(minted_ms))
 
     def is_own(self, minted):
-        """Tell whether this run of this host minted a key.
+        """Return whether the current incarnation of this host minted a key.
 
         :param minted: the :class:`MintedKey`.
         """
--- a/goldcrestmoor/request/minted_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -1,4 +1,4 @@
-"""Requests under minted keys: only the host that minted a key ever sends."""
+"""Requests with minted keys, which only the minting host sends to upstreams."""
 
 import logging
 
@@ -22,7 +22,7 @@
 
 
 class MintedKeys:
-    """Send under minted keys, here or through the host that minted them.
+    """Send requests with minted keys, on this host or through the minting host.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param mint: the :class:`~goldcrestmoor.request.key_mint.KeyMint`.
@@ -30,7 +30,7 @@
     :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
     :param links: the ``PeerLinks``.
     :param membership: the ``Membership``.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param settings: the :class:`~goldcrestmoor.settings.IdempotencySettings`.
     """
@@ -69,17 +69,17 @@
         links.register(SendWithKey, self._on_send)
 
     async def run(self, account, key, request, deadline, request_id, check=None):
-        """Send a request under a minted key, or return its recorded answer.
+        """Send a request with a minted key, or return its recorded response.
 
         :param account: the account's name.
         :param key: the key.
         :param request: the :class:`~goldcrestmoor.request.apps.AppRequest`.
-        :param deadline: when the answer must be there.
-        :param request_id: the request.
+        :param deadline: the time by which the response must be complete.
+        :param request_id: the request's id.
         :param check: called just before each send; raises to prevent it.
         :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
         :raises ServiceError: ``OUTCOME_UNKNOWN`` when the host that minted the key
-            cannot be asked, ``KEY_EXPIRED``, ``KEY_REUSED`` or ``IN_PROGRESS``.
+            is unreachable, ``KEY_EXPIRED``, ``KEY_REUSED`` or ``IN_PROGRESS``.
         """
         minted = self._mint.parse(key, account)
         if self._mint.is_own(minted):
@@ -88,7 +88,7 @@
             )
         record = self._membership.find(minted.host)
         if record is None or str(record.state) == DEAD:
-            raise _outcome_unknown("The host that minted the key is gone.")
+            raise _outcome_unknown("The host that minted the key is dead or unknown.")
         message = SendWithKey(
             account, key, request, deadline.remaining_ms(), request_id
         )
@@ -96,10 +96,10 @@
         return answer.answer
 
     async def _ask_minting_host(self, host, message, deadline):
-        """Ask the host that minted a key to send, or for what came of it.
+        """Request the send, or its recorded outcome, from the minting host.
 
-        A link may go silent while that host works. Asking once more, on a link
-        that is dialled anew, gets the same outcome.
+        The link may become unresponsive while that host works. A second call, on a
+        new connection, gets the same outcome.
         """
         for attempt in range(MAX_CALLS):
             record = self._membership.find(host)
@@ -112,11 +112,11 @@
                 return await self._links.call(host, message, remaining_ms)
             except ServiceError as e:
                 if attempt and e.answer.ran == Ran.NOT_RUN:
-                    # What it says is true of the second asking alone.
+                    # "Not run" holds for the second call only.
                     break
                 if e.kind != ErrorKind.PEER_UNREACHABLE:
                     raise
-        raise _outcome_unknown("The host that minted the key does not answer.")
+        raise _outcome_unknown("The host that minted the key did not reply.")
 
     async def _run_here(
         self, account, key, minted, request, deadline, request_id, check_account
@@ -128,9 +128,9 @@
             expires_ms = minted.minted_ms + self._settings.key_lifetime_ms
 
             def check():
-                # The clock also runs while the process is frozen.
+                # The clock also advances during a process pause.
                 if self._clock.now_ms() >= expires_ms:
-                    text = "The key is too old to be sent with."
+                    text = "The key has expired; no request is sent with it."
                     raise ServiceError(ErrorKind.KEY_EXPIRED, text)
                 if check_account is not None:
                     check_account()
@@ -157,7 +157,9 @@
         full_key = f"{message.account}/{message.key}"
         digest = request_digest(message.request)
         if not self._memory.is_open and self._memory.find(full_key, digest) is None:
-            raise ServiceError(ErrorKind.DRAINING, "The key's host is shutting down.")
+            raise ServiceError(
+                ErrorKind.DRAINING, "The host that minted the key is shutting down."
+            )
         remaining_ms = reply_timeout_ms(message.remaining_ms)
         deadline = Deadline.after(self._clock, remaining_ms)
 
@@ -177,4 +179,6 @@
 
 
 def _outcome_unknown(text):
-    return ServiceError(ErrorKind.OUTCOME_UNKNOWN, f"{text} It will not be sent.")
+    return ServiceError(
+        ErrorKind.OUTCOME_UNKNOWN, f"{text} The request will not be sent."
+    )
--- a/goldcrestmoor/request/outcome_cache.py
+++ b/goldcrestmoor/request/outcome_cache.py
@@ -1,4 +1,4 @@
-"""What this host remembers of the requests that it sent with keys."""
+"""In-memory outcomes of the requests that this host sent with keys."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 def request_digest(request):
-    """Return what tells one request from another under the same key.
+    """Return the digest that identifies a request with a key.
 
     :param request: an :class:`~goldcrestmoor.request.apps.AppRequest`.
     """
@@ -25,10 +25,10 @@
 
 
 class Outcome:
-    """One request with a key, from before it is sent.
+    """The outcome of one request with a key, created before the request is sent.
 
-    :param digest: its digest.
-    :param expires_ms: how long it is remembered, on the clock's scale.
+    :param digest: the request's digest.
+    :param expires_ms: the expiry time, on the clock's scale.
     """
 
     __slots__ = ("digest", "expires_ms", "answer", "error", "is_cached")
@@ -44,22 +44,22 @@
         self._done = asyncio.Event()
 
     def is_done(self):
-        """Tell whether the answer or the failure is recorded."""
+        """Return whether the response or the failure is recorded."""
         return self._done is None
 
     def finish(self):
-        """Let everybody go on who waits for the answer."""
-        # Many outcomes are kept for long, and an event is larger than the rest.
+        """Wake up everything that waits for the outcome."""
+        # Many outcomes are cached for long, and the event is their largest part.
         done, self._done = self._done, None
         done.set()
 
     async def wait(self):
-        """Wait until the answer or the failure is recorded."""
+        """Wait until the response or the failure is recorded."""
         if self._done is not None:
             await self._done.wait()
 
     def result(self):
-        """Return the recorded answer.
+        """Return the recorded response.
 
         :raises ServiceError: the recorded failure.
         """
@@ -71,13 +71,13 @@
 class OutcomeCache:
     """Outcomes by key, in bounded memory.
 
-    An outcome that could still be asked for is never dropped to make room: a key
-    that was forgotten early would be sent again.
+    An outcome is never evicted before it expires: the request of a key that was
+    dropped early would be sent again.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param settings: the :class:`~goldcrestmoor.settings.IdempotencySettings`.
-    :param in_flight: counts what a shutdown waits for, by ``hold()``, and tells by
-        ``is_open`` whether new work is taken; None when there is no such count.
+    :param in_flight: counts the work that a shutdown waits for, by ``hold()``;
+        ``is_open`` is whether new requests are accepted. None for no such count.
     """
 
     __slots__ = (
@@ -105,11 +105,11 @@
 
     @property
     def is_open(self):
-        """Whether this host takes new work."""
+        """Whether this host accepts new requests."""
         return self._in_flight is None or self._in_flight.is_open
 
     def hold(self):
-        """Return a context manager that a shutdown waits for."""
+        """Return a context manager whose exit a shutdown waits for."""
         if self._in_flight is None:
             return contextlib.nullcontext()
         return self._in_flight.hold()
@@ -119,7 +119,7 @@
 
         :param key: the key, with its account.
         :param digest: the request's digest.
-        :raises ServiceError: ``KEY_REUSED`` when it belongs to another request.
+        :raises ServiceError: ``KEY_REUSED`` when the key belongs to another request.
         """
         outcome = self._outcomes_by_key.get(key)
         if outcome is not None and outcome.digest != digest:
@@ -128,16 +128,16 @@
         return outcome
 
     def start(self, key, digest, expires_ms, send):
-        """Send a request once, and record what comes of it.
+        """Send a request once, and record its outcome.
 
-        The sending goes on when its caller has gone.
+        The request continues when its caller disconnects.
 
         :param key: the key, with its account.
         :param digest: the request's digest.
-        :param expires_ms: how long to remember it, on the clock's scale.
+        :param expires_ms: the outcome's expiry time, on the clock's scale.
         :param send: ``async () -> AppResponse``.
         :return: the :class:`Outcome`.
-        :raises ServiceError: ``OVERLOADED`` when too many are remembered.
+        :raises ServiceError: ``OVERLOADED`` when the cache is full.
         """
         self._ensure_capacity()
         outcome = Outcome(digest, expires_ms)
@@ -146,10 +146,10 @@
         return outcome
 
     async def wait(self, outcome, deadline):
-        """Return a recorded answer, once it is there.
+        """Wait for the outcome and return the recorded response.
 
         :param outcome: the :class:`Outcome`.
-        :param deadline: when to give up waiting.
+        :param deadline: when to stop waiting.
         :raises ServiceError: the recorded failure, or ``IN_PROGRESS``.
         """
         outcome.waiters += 1
@@ -172,7 +172,7 @@
         self._drop(key)
 
     async def close(self):
-        """Cancel what is being sent."""
+        """Cancel the requests that are being sent."""
         await self._tasks.close()
 
     async def _run(self, key, outcome, send):
@@ -183,13 +183,13 @@
         except ServiceError as e:
             outcome.error = e
             if e.answer.ran == Ran.NOT_RUN:
-                # Nothing was sent, so the key may be tried again.
+                # The request was not run, so the key may be used again.
                 self._drop(key)
             elif e.kind.value.startswith("upstream_"):
-                text = f"It may have run, and will not be sent again: {e.message}"
+                text = f"The request may have run, and is not sent again: {e.message}"
                 outcome.error = ServiceError(ErrorKind.OUTCOME_UNKNOWN, text)
         except BaseException:
-            text = "It may have run, and will not be sent again."
+            text = "The request may have run, and is not sent again."
             outcome.error = ServiceError(ErrorKind.OUTCOME_UNKNOWN, text)
             raise
         finally:
@@ -205,10 +205,12 @@
         self._discard_uncached(outcome)
 
     def _discard_uncached(self, outcome):
-        """Drop an answer that is too large to keep, once nobody waits for it."""
+        """Drop a response that is too large to cache, once all waiters have it."""
         if outcome.is_cached or outcome.waiters or outcome.answer is None:
             return
-        text = f"It ran with status {outcome.answer.status}; the answer was not kept."
+        text = (
+            f"It ran with status {outcome.answer.status}; the response is not cached."
+        )
         outcome.answer = None
         outcome.error = ServiceError(ErrorKind.ANSWER_NOT_KEPT, text)
 
@@ -220,7 +222,7 @@
                 if outcome.expires_ms <= now_ms and outcome.is_done():
                     self._drop(key)
         if len(self._outcomes_by_key) >= self._settings.max_remembered:
-            text = "Too many keys are remembered."
+            text = "Too many outcomes of keys are cached."
             raise ServiceError(ErrorKind.OVERLOADED, text, FULL_RETRY_AFTER_MS)
 
     def _drop(self, key):
--- a/goldcrestmoor/request/placement.py
+++ b/goldcrestmoor/request/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream of a pool a request goes to."""
+"""Placement of requests: which upstream of a pool a request goes to."""
 
 import collections
 import itertools
@@ -13,43 +13,43 @@
 
 
 class LeastLoaded(msgspec.Struct, frozen=True):
-    """Take the upstream with the fewest requests of this host per slot.
+    """Take the upstream with the fewest requests from this host per slot.
 
-    Among equals the own zone goes first.
+    Ties are broken in favour of this host's zone.
     """
 
 
 class PrefixAffinity(msgspec.Struct, frozen=True):
-    """Keep a prefix on one upstream while its load is not far above the mean.
+    """Keep a prefix on one upstream while the upstream's load is near the mean.
 
-    :param max_load_percent: the bound on its load, in percent of the mean.
+    :param max_load_percent: the maximum load of that upstream, in percent of the mean.
     """
 
     max_load_percent: int = 125
 
 
 class TwoChoices(msgspec.Struct, frozen=True):
-    """Take the less loaded of two upstreams drawn at random.
+    """Take the less loaded of two upstreams chosen at random.
 
-    They are drawn from the own zone while it has a free slot, since the way to
-    another zone would show in a short request.
+    They are chosen from this host's zone while that has a free slot, because the
+    latency to another zone matters for a short request.
     """
 
 
 class RoundRobin(msgspec.Struct, frozen=True):
-    """Take one upstream after the other."""
+    """Take the upstreams in turn."""
 
 
 class Placement:
-    """Choose upstreams by a policy, from those that may take new work.
+    """Choose upstreams by a policy, from those that accept new requests.
 
     :param zone: this host's availability zone.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param policy: one of the policies of this module.
     :param health: an ``UpstreamHealth``, or None.
-    :param is_leaving: tells whether the host list names an upstream as leaving.
-    :param is_zone_live: tells whether a zone has hosts that answer this one.
+    :param is_leaving: returns whether the host list marks an upstream as leaving.
+    :param is_zone_live: returns whether this host can reach any host of a zone.
     """
 
     __slots__ = (
@@ -79,18 +79,18 @@
         """Return the upstream that a request goes to.
 
         :param pool: the pool's name.
-        :param prefix_key: what requests with a common prefix share, if anything.
-        :param avoid: names of upstreams to pass over.
-        :param may_probe: whether the request may be the one that tries an unhealthy
-            upstream again.
-        :raises ServiceError: ``NO_UPSTREAM`` when none may take new work.
+        :param prefix_key: a key common to requests that share a prefix, or empty.
+        :param avoid: names of upstreams to skip.
+        :param may_probe: whether the request may be used to probe an unhealthy
+            upstream.
+        :raises ServiceError: ``NO_UPSTREAM`` when no upstream accepts new requests.
         """
         usable = self.usable(pool, avoid)
         due_probe = self._due_probe(pool, avoid, usable) if may_probe else None
         if due_probe is not None:
             return due_probe
         if not usable:
-            text = f"No upstream of {pool} takes new work."
+            text = f"No upstream of {pool} accepts new requests."
             raise ServiceError(ErrorKind.NO_UPSTREAM, text)
         match self._policy:
             case PrefixAffinity(max_load_percent) if prefix_key:
@@ -105,29 +105,29 @@
                 return self._least_loaded(usable)
 
     def usable(self, pool, avoid=()):
-        """Return the upstreams that may take new work, of all zones that answer.
+        """Return the healthy upstreams that accept new requests, in live zones.
 
         :param pool: the pool's name.
-        :param avoid: names of upstreams to pass over.
+        :param avoid: names of upstreams to skip.
         """
         accepting = self._accepting(pool, avoid)
         if self._health is not None:
             names = set(self._health.usable([u.name for u in accepting]))
             accepting = [u for u in accepting if u.name in names]
-        # A zone whose hosts are all silent is most likely cut off from this one.
+        # A zone whose hosts are all unreachable is most likely partitioned.
         return [u for u in accepting if self._is_reachable(u)] or accepting
 
     def alternatives(self, pool, avoid=()):
         """Yield upstreams that a queued request may be moved to, least loaded first.
 
         :param pool: the pool's name.
-        :param avoid: names of upstreams to pass over.
+        :param avoid: names of upstreams to skip.
         """
         usable = self.usable(pool, avoid)
         yield from sorted(usable, key=lambda u: (self._load(u), random.random()))
 
     def accepts_requests(self, name):
-        """Tell whether an upstream may be sent new work at this moment.
+        """Return whether an upstream currently accepts new requests.
 
         :param name: the upstream's name.
         """
@@ -135,11 +135,11 @@
         return upstream is not None and self._accepts_requests(upstream)
 
     def begin(self, upstream):
-        """Count a request of this host on an upstream."""
+        """Count a request from this host as in flight on an upstream."""
         self.in_flight_by_upstream[upstream.name] += 1
 
     def end(self, upstream):
-        """Count it no longer."""
+        """Count a request from this host on an upstream as ended."""
         self.in_flight_by_upstream[upstream.name] -= 1
         if self.in_flight_by_upstream[upstream.name] <= 0:
             del self.in_flight_by_upstream[upstream.name]
@@ -149,7 +149,7 @@
         return [u for u in members if self._accepts_requests(u) and u.name not in avoid]
 
     def _due_probe(self, pool, avoid, usable):
-        """Return an unhealthy upstream whose time to be tried again has come."""
+        """Return an unhealthy upstream that is due for a probe, or None."""
         if self._health is None:
             return None
         names = {u.name for u in usable}
@@ -174,7 +174,8 @@
         return self.in_flight_by_upstream[upstream.name] / max(1, upstream.slots)
 
     def _least_loaded(self, usable):
-        # Ties are broken at random, lest every host start with the same upstream.
+        # Ties are broken at random, so that not every host starts with the same
+        # upstream.
         return min(
             usable,
             key=lambda u: (self._load(u), u.zone != self._zone, random.random()),
--- a/goldcrestmoor/request/queue_entry.py
+++ b/goldcrestmoor/request/queue_entry.py
@@ -1,16 +1,16 @@
-"""A request that waits for a slot, or uses one."""
+"""A request that is queued for a slot, or uses one."""
 
 
 class Entry:
     """One queued request.
 
-    :param id: the grant that it waits for.
+    :param id: the id of the grant.
     :param account: the account's name.
     :param kind: the account's kind.
     :param share: the account's weight.
-    :param cost_tokens: what it is expected to cost, in tokens.
-    :param deadline: when it must have started.
-    :param queued_ms: when it was queued, on the clock's scale.
+    :param cost_tokens: what the request is expected to cost, in tokens.
+    :param deadline: the time by which the request must have started.
+    :param queued_ms: when the request was queued, on the clock's scale.
     """
 
     __slots__ = (
--- a/goldcrestmoor/request/request_parsing.py
+++ b/goldcrestmoor/request/request_parsing.py
@@ -1,4 +1,4 @@
-"""What every route reads from a request: its body and its deadline."""
+"""Parsing of request bodies and deadlines, common to all routes."""
 
 import msgspec
 
@@ -9,26 +9,26 @@
 
 
 async def read_json(request, cls):
-    """Return a request's body, decoded strictly.
+    """Return a request's JSON body, decoded and validated.
 
     :param request: the blacksheep request.
-    :param cls: the ``msgspec.Struct`` that it must hold.
-    :raises ServiceError: ``BAD_REQUEST`` when it does not.
+    :param cls: the ``msgspec.Struct`` to decode it to.
+    :raises ServiceError: ``BAD_REQUEST`` when the body does not match.
     """
     data = await request.read()
     try:
         return msgspec.json.decode(data or b"", type=cls)
     except (msgspec.MsgspecError, UnicodeDecodeError) as e:
-        raise ServiceError(ErrorKind.BAD_REQUEST, f"The body is wrong: {e}.") from e
+        raise ServiceError(ErrorKind.BAD_REQUEST, f"The body is invalid: {e}.") from e
 
 
 def read_deadline(request, clock, max_ms):
-    """Return the deadline that a caller asks for, within the host's bound.
+    """Return the deadline that a caller requests, limited to the host's maximum.
 
     :param request: the blacksheep request.
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param max_ms: the longest that a request may take, in milliseconds.
-    :raises ServiceError: ``BAD_REQUEST`` when the header is no number.
+    :raises ServiceError: ``BAD_REQUEST`` when the header is not a number.
     """
     value = request.get_first_header(TIMEOUT_HEADER)
     if value is None:
--- a/goldcrestmoor/request/retry_decision.py
+++ b/goldcrestmoor/request/retry_decision.py
@@ -1,9 +1,9 @@
-"""What becomes of a request after a try of it has ended.
+"""Decides whether a request is retried after a failed attempt.
 
-The load this answers: an upstream takes a request and its answer is lost, spoilt or
-late, in a burst of a few seconds at a share of the upstreams. A request that may be
-repeated is sent to another upstream while there is time for an answer; all others
-end at once with what is known of them.
+Workload: for a few seconds, some of the upstreams accept requests whose responses are
+lost, corrupted or late. A request that may be repeated is sent to another upstream
+while there is time for a response; any other request ends at once with an error that
+states whether it may have run.
 """
 
 import msgspec
@@ -11,26 +11,28 @@
 from goldcrestmoor.errors import ErrorKind, Ran
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 
-# A further try must leave the upstream some time to work.
+# A further attempt must leave the upstream some time to work.
 MIN_ATTEMPT_MS = 30
-# A first try that may be repeated gives way to the second after this share of the
-# time that is left, or after the time within which an answer is worth most.
+# A first attempt that may be repeated times out after this fraction of the remaining
+# time, but not before the target latency, within which a response is worth most.
 FIRST_ATTEMPT_FRACTION = 0.45
-# A server of six slots and requests of 25 ms works off a queue of 24 in this time.
+# A server with six slots and requests of 25 ms clears a queue of 24 in this time.
 RETRY_AFTER_FULL_MS = 100
-# A server that has gone leaves the list, or another comes, within a few of these.
+# Within a few of these intervals, a terminated server is removed from the list, or
+# another one is added.
 RETRY_AFTER_NONE_MS = 500
 
 
 class SendAgain(msgspec.Struct, frozen=True):
-    """Send it to another upstream."""
+    """Send the request to another upstream."""
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """End it with an error.
+    """End the request with an error.
 
     :param kind: the :class:`~goldcrestmoor.errors.ErrorKind`.
-    :param retry_after_ms: when the caller should come back.
+    :param retry_after_ms: the time after which the caller should retry, in
+        milliseconds.
     """
 
     kind: ErrorKind
@@ -38,15 +40,15 @@
 
 
 def decide_retry(ran, retry_policy, runs, attempts, remaining_ms, has_alternative):
-    """Decide what follows a try that gave no answer to pass on.
+    """Decide what follows an attempt that gave no response to forward.
 
-    :param ran: the :class:`~goldcrestmoor.errors.Ran` of all tries so far: whether
-        any of them was, may have been, or surely was not run.
+    :param ran: the :class:`~goldcrestmoor.errors.Ran` of all attempts so far: whether
+        any of them was, may have been, or certainly was not run.
     :param retry_policy: the route's ``RetryPolicy``.
-    :param runs: how many tries may have been run, this one included.
+    :param runs: how many attempts may have been run, including this one.
     :param attempts: how many upstreams may run the request.
     :param remaining_ms: the time left, in milliseconds.
-    :param has_alternative: whether there is an upstream that it was not sent to.
+    :param has_alternative: whether there is an upstream that was not tried yet.
     :return: :class:`SendAgain` or :class:`GiveUp`.
     """
     may_retry = retry_policy is not RetryPolicy.NEVER or ran is Ran.NOT_RUN
@@ -67,13 +69,14 @@
 def attempt_timeout_ms(
     retry_policy, runs, attempts, remaining_ms, target_ms, has_alternative
 ):
-    """Return how long a try may wait for its answer, in milliseconds.
+    """Return how long an attempt may wait for its response, in milliseconds.
 
     :param retry_policy: the route's ``RetryPolicy``.
-    :param runs: how many tries came before.
+    :param runs: how many earlier attempts may have been run.
     :param attempts: how many upstreams may run the request.
-    :param remaining_ms: the time left.
-    :param target_ms: the time within which an answer is worth most.
+    :param remaining_ms: the time left, in milliseconds.
+    :param target_ms: the route's target latency, within which a response is worth most,
+        in milliseconds.
     :param has_alternative: whether there is another upstream to try after this one.
     """
     is_last = (
--- a/goldcrestmoor/request/slots.py
+++ b/goldcrestmoor/request/slots.py
@@ -1,4 +1,4 @@
-"""One upstream's slots and queue, at its owner."""
+"""The slots and the queue of one upstream, at its owner."""
 
 import asyncio
 import logging
@@ -20,7 +20,7 @@
 
     :param host: the host.
     :param entry: the :class:`~goldcrestmoor.request.queue_entry.Entry`.
-    :param expires_ms: when it lapses, on the clock's scale.
+    :param expires_ms: when the grant expires, on the clock's scale.
     """
 
     __slots__ = ("host", "entry", "expires_ms")
@@ -34,9 +34,9 @@
 class Waiter:
     """A queued request, and the future that its polls wait on.
 
-    :param host: the host that asked.
+    :param host: the requesting host.
     :param entry: the :class:`~goldcrestmoor.request.queue_entry.Entry`.
-    :param polled_ms: when it asked last, on the clock's scale.
+    :param polled_ms: when the host last polled, on the clock's scale.
     """
 
     __slots__ = ("host", "entry", "polled_ms", "future")
@@ -49,7 +49,7 @@
 
 
 class Slots:
-    """What one upstream runs and what waits for it.
+    """The outstanding grants and queued requests of one upstream.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param queue: the :class:`~goldcrestmoor.request.fair_queue.FairQueue`.
@@ -65,13 +65,13 @@
 
     @property
     def idle(self):
-        """Whether nothing runs and nothing waits."""
+        """Whether there is neither a grant nor a queued request."""
         return not self.holders_by_id and not self.waiters_by_id
 
     def enqueue(self, host, entry):
         """Queue a request.
 
-        :param host: the host that asked.
+        :param host: the requesting host.
         :param entry: the :class:`~goldcrestmoor.request.queue_entry.Entry`.
         :return: its :class:`Waiter`.
         :raises ServiceError: ``OVERLOADED``.
@@ -82,11 +82,11 @@
         return waiter
 
     async def long_poll(self, waiter):
-        """Wait for a while until a queued request is granted or refused.
+        """Wait for a short time until a queued request is granted or rejected.
 
         :param waiter: the :class:`Waiter`.
         :return: ``Granted`` or ``StillQueued``.
-        :raises ServiceError: what the request was refused with.
+        :raises ServiceError: the error that the request was rejected with.
         """
         timeout_ms = min(LONG_POLL_MS, waiter.entry.deadline.remaining_ms())
         await asyncio.wait([waiter.future], timeout=timeout_ms / MS_PER_SECOND)
@@ -97,13 +97,15 @@
             return StillQueued(len(self.queue))
         self.waiters_by_id.pop(waiter.entry.id, None)
         if waiter.future.cancelled():
-            raise ServiceError(ErrorKind.QUEUE_TIMEOUT, "The request was given up.")
+            raise ServiceError(
+                ErrorKind.QUEUE_TIMEOUT, "The queued request was cancelled."
+            )
         return waiter.future.result()
 
     def grant_free_slots(self, capacity):
         """Grant free slots to the requests that go next.
 
-        :param capacity: how many may run at a time.
+        :param capacity: how many requests may run at a time.
         """
         self.reject_expired()
         while len(self.holders_by_id) < capacity:
@@ -114,48 +116,49 @@
             self._grant(entry)
 
     def reject_expired(self):
-        """Answer the queued requests whose deadline has passed."""
+        """Reject the queued requests whose deadline has passed."""
         for entry in self.queue.pop_expired():
             self.reject(entry, ErrorKind.QUEUE_TIMEOUT)
 
     def reject_all(self):
-        """Answer every queued request: the upstream takes no new work."""
+        """Reject every queued request: the upstream accepts no new requests."""
         for entry in self.queue.clear():
             self.reject(entry, ErrorKind.NO_UPSTREAM)
 
     def reject(self, entry, kind):
-        """Answer a request that has been taken from the queue.
+        """Reject a request that has been removed from the queue.
 
-        :param entry: its entry.
+        :param entry: the request's entry.
         :param kind: the :class:`~goldcrestmoor.errors.ErrorKind`.
         """
         waiter = self.waiters_by_id.pop(entry.id, None)
         if waiter is None or waiter.future.done():
             return
-        error = ServiceError(kind, "The upstream takes no new work.")
+        error = ServiceError(kind, "The upstream accepts no new requests.")
         if kind == ErrorKind.QUEUE_TIMEOUT:
             wait_ms = round(self.queue.expected_wait_ms(entry))
             after_ms = max(MIN_RETRY_AFTER_MS, wait_ms)
-            error = ServiceError(kind, "No slot came free in time.", after_ms)
+            error = ServiceError(kind, "No slot became available in time.", after_ms)
         waiter.future.set_exception(error)
-        # Between two polls nobody waits for it, which is no fault.
+        # Between two polls nothing waits on the future; reading the exception avoids
+        # a warning that it was never retrieved.
         waiter.future.exception()
 
     def add_holder(self, host, entry):
-        """Count a grant that another owner gave, or keep a known one.
+        """Add a grant or extend it; it may have been given by a previous owner.
 
-        :param host: the host that holds it.
-        :param entry: its entry.
+        :param host: the host that holds the grant.
+        :param entry: the request's entry.
         """
         expires_ms = self._clock.now_ms() + GRANT_LIFETIME_MS
         self.holders_by_id[entry.id] = Holder(host, entry, expires_ms)
 
     def release(self, grant_id, used_tokens):
-        """Take a slot back, or give up a queued request.
+        """Release a slot, or cancel a queued request.
 
-        :param grant_id: the grant.
-        :param used_tokens: what the request cost in the end, in tokens.
-        :return: the entry whose slot it was, or None.
+        :param grant_id: the grant's id.
+        :param used_tokens: what the request actually cost, in tokens.
+        :return: the entry that held the slot, or None.
         """
         waiter = self.waiters_by_id.get(grant_id)
         if waiter is not None:
@@ -167,15 +170,15 @@
         return holder.entry
 
     def drop_lapsed(self):
-        """Drop what its host no longer asks for."""
+        """Drop grants and queued requests that their hosts no longer renew or poll."""
         now_ms = self._clock.now_ms()
         self._drop_holders(lambda holder: holder.expires_ms <= now_ms)
         self._drop_waiters(lambda waiter: waiter.polled_ms + POLL_EXPIRY_MS <= now_ms)
 
     def drop_hosts(self, is_dead):
-        """Drop what gone hosts hold and wait for.
+        """Drop the grants and queued requests of dead hosts.
 
-        :param is_dead: tells whether a host is gone.
+        :param is_dead: returns whether a host is dead.
         """
         self._drop_holders(lambda holder: is_dead(holder.host))
         self._drop_waiters(lambda waiter: is_dead(waiter.host))
@@ -199,7 +202,10 @@
             if should_drop(holder):
                 del self.holders_by_id[grant_id]
                 self.queue.record_usage(holder.entry, holder.entry.cost_tokens)
-                log.info("Dropped a grant that %s no longer holds.", holder.host)
+                log.info(
+                    "Grant of %s dropped: not renewed in time, or the host is dead.",
+                    holder.host,
+                )
 
     def _drop_waiters(self, should_drop):
         for waiter in list(self.waiters_by_id.values()):
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -1,8 +1,8 @@
-"""Forward a stream of events as they come, and carry it on where that is allowed.
+"""Forwarding of event streams, which are resumed on failure where the route allows it.
 
-The load this answers: engines crash, hang and change weights while long streams are
-open. A stream that may be resumed goes on at another engine behind the last whole
-event that its caller has; any other is broken off, so that it never looks complete.
+Workload: engines crash, hang and change weights while long streams are open. A stream
+that may be resumed continues on another engine after the last complete event that was
+sent to the caller; any other stream is aborted, so that it never looks complete.
 """
 
 import contextlib
@@ -20,16 +20,16 @@
 
 STATUS_OK = 200
 EVENT_STREAM = b"text/event-stream"
-# Callers leave a stream after a gap of two seconds, or longer by their route's terms.
+# Callers abandon a stream after a gap of two seconds, or more if their route allows it.
 MIN_IDLE_TIMEOUT_MS = 2000
 
 
 class StreamResponse(msgspec.Struct, frozen=True):
-    """An answer that comes in events.
+    """A response that is a stream of events.
 
-    :param headers: ``(name, value)`` byte pairs of the first upstream's answer.
-    :param events: an async iterator of the events' bytes. It raises when the stream
-        is broken for good, and must be closed.
+    :param headers: ``(name, value)`` byte pairs of the first upstream's response.
+    :param events: an async iterator of the events' bytes, which must be closed. It
+        raises when the stream fails and is not resumed.
     """
 
     headers: tuple[tuple[bytes, bytes], ...]
@@ -37,18 +37,18 @@
 
 
 class StreamForwarder(Sender):
-    """Send requests whose answers are streams."""
+    """Forward requests whose responses are streams."""
 
     __slots__ = ()
 
     async def forward(self, request, route, deadline):
-        """Return an answer once its first event is there, or a whole one.
+        """Return a response once its first event is received, or a complete one.
 
         :param request: the :class:`~goldcrestmoor.request.forwarding.CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-        :param deadline: when the stream must have ended.
+        :param deadline: the time by which the stream must have ended.
         :return: a :class:`StreamResponse`, or an
-            :class:`~goldcrestmoor.request.apps.AppResponse` when it is no stream.
+            :class:`~goldcrestmoor.request.apps.AppResponse` when it is not a stream.
         :raises ServiceError: as ``Forwarder.forward``.
         """
         attempts = self._new_attempts(request, route, deadline)
@@ -69,7 +69,7 @@
     async def _run(self, attempts):
         """Yield the first upstream's headers, then each event's bytes.
 
-        An answer that is no stream is yielded whole, in place of the headers.
+        A response that is not a stream is yielded complete, in place of the headers.
         """
         last_id, has_head, has_events = "", False, False
         while True:
@@ -112,8 +112,8 @@
             attempts.retry_or_raise(outcome)
 
     def _record_error(self, upstream, attempts, error):
-        # Silence within the stream is its engine's; a stream that is longer than its
-        # caller waits says nothing of the engine.
+        # An idle timeout within the stream is the engine's fault; a stream that is
+        # longer than its caller's deadline is not.
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT and attempts.deadline.passed():
             self._loads.record_timeout(upstream, attempts.route.name)
         else:
@@ -146,19 +146,19 @@
                 yield response
 
     async def _check_response(self, upstream, attempts, response, has_head):
-        """Return None for a stream to pass on, else how the try ended."""
+        """Return None for a stream to forward, else the outcome of the attempt."""
         status, headers = response.status, response.headers
         if self._dialect.ran(status, headers) is Ran.NOT_RUN:
             async for _ in response.body():
                 pass
             return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
         if not self._dialect.is_genuine(attempts.request.id, status, headers):
-            return FailedAttempt(Ran.UNKNOWN, "The answer is spoilt or another's")
+            return FailedAttempt(Ran.UNKNOWN, "The response is spoilt or another's")
         if dict(headers).get(b"content-type", b"").startswith(EVENT_STREAM):
             return None
         if has_head:
             return FailedAttempt(
-                Ran.RAN, f"{upstream.name} did not resume it: {status}"
+                Ran.RAN, f"{upstream.name} did not resume the stream: {status}"
             )
         chunks = [chunk async for chunk in response.body()]
         return AppResponse(status, tuple(headers), b"".join(chunks))
--- a/goldcrestmoor/request/token_chunk.py
+++ b/goldcrestmoor/request/token_chunk.py
@@ -1,16 +1,16 @@
-"""What an engine's stream is made of."""
+"""Token chunks of an engine's stream, and the segments they form."""
 
 import msgspec
 
 
 class TokenChunk(msgspec.Struct, frozen=True):
-    """Some consecutive tokens of one stream.
+    """Consecutive tokens of one stream.
 
-    :param text: their text.
-    :param tokens: how many they are.
-    :param version: the weight version that the engine stated for them.
-    :param upstream: the engine that made them.
-    :param finish_reason: ``stop`` or ``length`` on the last piece, else empty.
+    :param text: the text of the tokens.
+    :param tokens: the number of tokens.
+    :param version: the weight version that the engine stated for the tokens.
+    :param upstream: the engine that generated the tokens.
+    :param finish_reason: ``stop`` or ``length`` on the last chunk, else empty.
     """
 
     text: str
@@ -21,11 +21,11 @@
 
 
 class Segment(msgspec.Struct, frozen=True):
-    """Consecutive pieces of one weight version.
+    """Consecutive tokens of one weight version.
 
     :param version: the weight version that produced the tokens.
-    :param text: their text.
-    :param tokens: how many they are.
+    :param text: the text of the tokens.
+    :param tokens: the number of tokens.
     """
 
     version: int
@@ -34,7 +34,7 @@
 
 
 def merge_by_version(chunks):
-    """Yield the segments that pieces make up, one for each run of a version.
+    """Merge consecutive chunks of the same weight version, and yield the segments.
 
     :param chunks: an iterable of :class:`TokenChunk`.
     """
--- a/goldcrestmoor/request/upstream_loads.py
+++ b/goldcrestmoor/request/upstream_loads.py
@@ -1,20 +1,20 @@
-"""What this host has in flight at each upstream, and which have just failed."""
+"""Requests in flight and recent failures of each upstream, as seen by this host."""
 
 import contextlib
 
 from goldcrestmoor.request.upstream_choice import Candidate, choose_upstream
 
-# An upstream that failed is left alone for so long while there is another, twice as
-# long after each further failure: a server that is cut off is listed for seconds yet.
+# An upstream that failed is avoided for this time while there is another, and for twice
+# as long after each further failure: a partitioned server stays listed for seconds.
 FAILURE_COOLDOWN_MS = 1000
-# A dead server is off the list by then.
+# A dead server has been removed from the list by then.
 FAILURE_COOLDOWN_MAX_MS = 8000
-# Further failures in a row do not lengthen the pause.
+# Further consecutive failures do not lengthen the cool-down.
 MAX_FAILURE_COUNT = 8
 
 
 class _Failure:
-    """How often in a row an upstream has failed, and until when it is left alone."""
+    """The consecutive failures of an upstream, and the end of its cool-down."""
 
     __slots__ = ("count", "until_ms")
 
@@ -24,10 +24,10 @@
 
 
 class UpstreamLoads:
-    """Choose upstreams for requests, and count what is at each.
+    """Choose upstreams for requests, and count the requests in flight on each.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param http: the ``HttpClient``, which knows the open connections.
+    :param http: the ``HttpClient``, which has the open connections.
     :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param zone: this host's availability zone.
     """
@@ -55,7 +55,7 @@
         """Return the upstream that a request goes to, or None.
 
         :param service: the service's name.
-        :param sent_to: the names of the upstreams that it was sent to already.
+        :param sent_to: the names of the upstreams that the request was sent to.
         """
         now_ms = self._clock.now_ms()
         upstream_by_name = {u.name: u for u in self._directory.usable(service)}
@@ -89,7 +89,7 @@
                 del self._in_flight_by_name[name]
 
     def record_response(self, upstream, route):
-        """Note that an upstream has answered.
+        """Record that an upstream has responded.
 
         :param upstream: the upstream.
         :param route: the name of the request's route.
@@ -98,10 +98,11 @@
         self._answering_routes.add(route)
 
     def record_timeout(self, upstream, route):
-        """Note that an upstream gave no answer within the time that a try had.
+        """Record that an attempt on an upstream timed out.
 
-        Some routes allow less time than their requests take. That they time out says
-        nothing of the upstream, which others are to be sent to on its connections.
+        Some routes allow less time than their requests take. A timeout on such a route
+        is no sign of a failed upstream, and must not divert other routes' requests from
+        its open connections. So it counts only on a route that has had a response.
 
         :param upstream: the upstream.
         :param route: the name of the request's route.
@@ -110,7 +111,7 @@
             self.record_failure(upstream)
 
     def record_failure(self, upstream):
-        """Note that an upstream gave no answer, or a spoilt one.
+        """Record that an upstream gave no response, or a corrupted one.
 
         :param upstream: the upstream.
         """
