--- a/test/_request_fakes.py
+++ b/test/_request_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of the seams that a request meets: peers, ownership, the lease."""
+"""Fakes of what a request depends on: clock, lease, peer links, membership."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 class FakeClock(Clock):
-    """A clock that a test moves by hand."""
+    """A clock that a test advances by hand."""
 
     __slots__ = ("ms",)
 
@@ -81,11 +81,11 @@
 
 
 class FakeNetwork:
-    """Peer links between the hosts of one test, which can be cut."""
+    """Peer links between the hosts of one test, which can be partitioned."""
 
     def __init__(self):
         self.links_by_host = {}
-        self.cut = set()
+        self.partitioned = set()
         self.frozen = set()
         self.sent = []
 
@@ -106,7 +106,7 @@
 
     async def call(self, host_id, message, timeout_ms):
         peer = self.network.links_by_host.get(host_id)
-        if peer is None or {host_id, self.host_id} & self.network.cut:
+        if peer is None or {host_id, self.host_id} & self.network.partitioned:
             raise ServiceError(ErrorKind.PEER_UNREACHABLE)
         message = wire.decode(*wire.encode(message))
         try:
@@ -160,7 +160,7 @@
 
 
 class CountingHttp(HttpClient):
-    """The HTTP client, which counts and can be held up before it connects."""
+    """An HTTP client that counts requests and can run a callback before each."""
 
     def __init__(self):
         super().__init__(clock=Clock(), limits=limits())
@@ -175,7 +175,7 @@
 
 
 def parts():
-    """Return what most parts need: metrics and decisions."""
+    """Return common constructor arguments: metrics and decisions."""
     return {"metrics": Metrics(), "decisions": DecisionLog(Clock())}
 
 
--- a/test/bench_admission.py
+++ b/test/bench_admission.py
@@ -1,7 +1,7 @@
-"""Compare one admitting owner with choices made at each entry host.
+"""Compare admission by an owner with placement decisions made at each entry host.
 
 ``python -m test.bench_admission`` runs many streams through several entry hosts
-against the same engines, in one process, and prints a line for each way.
+against the same engines, in one process, and prints a line for each variant.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 
 async def run(with_owner):
-    """Run all streams; return how long it took, and the fullest engine's streams."""
+    """Run all streams; return the duration in seconds and the maximum engine load."""
     clock = Clock()
     engines, servers, upstreams = [], [], []
     for i in range(ENGINES):
@@ -107,7 +107,7 @@
 
 
 def main():
-    """Print the median and spread of each way."""
+    """Print the median and range of each variant."""
     runs = int(sys.argv[1]) if len(sys.argv) > 1 else RUNS
     for name, with_owner in (("owner", True), ("two choices", False)):
         results = [asyncio.run(run(with_owner)) for _ in range(runs)]
--- a/test/test_admission.py
+++ b/test/test_admission.py
@@ -1,4 +1,4 @@
-"""Owners admit no more than the slots, and lose none to failures."""
+"""Owners grant no more than the slots, and lose no slot to failures."""
 
 import asyncio
 import unittest
@@ -88,7 +88,8 @@
         moved = await acquire_either()
         self.assertEqual(moved.upstream.name, "lm-2")
         await eventually(lambda: self.owner.queued("lm-1") == 0)
-        # With no idle slot anywhere, it keeps its place until one comes free.
+        # Without an idle slot on any upstream, the request stays queued until one of
+        # them has a free slot.
         waiting = asyncio.create_task(acquire_either())
         self.addAsyncCleanup(self.end, waiting)
         await eventually(lambda: self.owner.queued("lm-1") == 1)
@@ -102,7 +103,7 @@
             await awaitable
         return caught.exception
 
-    async def test_no_more_than_the_slots_are_out(self):
+    async def test_grants_do_not_exceed_the_slots(self):
         grants = await self.fill()
         waiting = self.start()
         await eventually(lambda: self.owner.queued("lm-1") == 1)
@@ -111,28 +112,28 @@
         await waiting
         self.assertEqual(self.owner.in_flight("lm-1"), 2)
 
-    async def test_the_owner_itself_is_asked_without_a_message(self):
+    async def test_the_owner_itself_acquires_without_a_message(self):
         grant = await self.acquire(self.client_by_host[OWNER])
         self.assertEqual(grant.owner, OWNER)
         self.client_by_host[OWNER].release(grant, 5)
         self.assertEqual(self.owner.in_flight("lm-1"), 0)
         self.assertEqual(self.network.sent, [])
 
-    async def test_a_passed_deadline_is_answered_and_leaves_nothing(self):
+    async def test_a_passed_deadline_is_rejected_and_leaves_no_queue_entry(self):
         await self.fill()
         error = await self.error_of(self.acquire(timeout_ms=100))
         self.assertEqual(error.kind, ErrorKind.QUEUE_TIMEOUT)
         self.assertGreater(error.retry_after_ms, 0)
         await eventually(lambda: self.owner.queued("lm-1") == 0)
 
-    async def test_a_cancelled_caller_leaves_nothing(self):
+    async def test_a_cancelled_caller_leaves_no_queue_entry(self):
         await self.fill()
         waiting = self.start()
         await eventually(lambda: self.owner.queued("lm-1") == 1)
         waiting.cancel()
         await eventually(lambda: self.owner.queued("lm-1") == 0)
 
-    async def test_a_draining_upstream_refuses_at_once_what_waits(self):
+    async def test_a_draining_upstream_rejects_queued_requests_at_once(self):
         await self.fill()
         waiting = self.start()
         await eventually(lambda: self.owner.queued("lm-1") == 1)
@@ -143,7 +144,7 @@
         error = await self.error_of(self.acquire())
         self.assertEqual(error.kind, ErrorKind.NO_UPSTREAM)
 
-    async def test_a_leaving_upstream_gets_no_queued_work_when_a_slot_comes_free(self):
+    async def test_a_leaving_upstream_gets_no_queued_request_for_a_free_slot(self):
         grants = await self.fill()
         waiting = self.start()
         await eventually(lambda: self.owner.queued("lm-1") == 1)
@@ -154,7 +155,7 @@
         error = await self.error_of(waiting)
         self.assertEqual(error.kind, ErrorKind.NO_UPSTREAM)
 
-    async def test_grants_of_a_dead_host_are_free_again(self):
+    async def test_grants_of_a_dead_host_are_released(self):
         await self.fill()
         waiting = self.start(client=self.client_by_host[OWNER])
         await eventually(lambda: self.owner.queued("lm-1") == 1)
@@ -162,7 +163,7 @@
         await waiting
         self.assertEqual(self.owner.in_flight("lm-1"), 1)
 
-    async def test_grants_lapse_unless_renewed_in_one_message(self):
+    async def test_grants_expire_unless_renewed_in_one_message(self):
         self.clock = fakes.FakeClock()
         self.add_host(OWNER)
         self.add_host(ENTRY)
@@ -192,7 +193,7 @@
         await eventually(lambda: new.queued("lm-1") == 1)
         self.assertFalse(waiting.done())
 
-    async def test_a_new_owner_is_told_at_once(self):
+    async def test_a_new_owner_is_notified_at_once(self):
         await self.fill()
         running = asyncio.create_task(self.entry.run())
         self.addCleanup(running.cancel)
@@ -202,12 +203,12 @@
         new = self.owner_by_host[OWNER]
         await eventually(lambda: new.in_flight("lm-1") == 2, RENEW_MS / 2000)
 
-    async def test_the_next_owner_is_asked_when_one_is_cut_off(self):
-        self.network.cut.add(OWNER)
+    async def test_a_fallback_host_grants_when_the_owner_is_partitioned(self):
+        self.network.partitioned.add(OWNER)
         grant = await self.acquire()
         self.assertEqual(grant.owner, ENTRY)
 
-    async def test_without_any_owner_only_a_few_are_admitted(self):
+    async def test_few_requests_are_admitted_without_a_reachable_owner(self):
         self.network.links_by_host.clear()
         self.membership.record_by_id.clear()
         grants = [await self.acquire() for _ in range(2)]
@@ -216,7 +217,7 @@
         self.entry.release(grants[0], 1)
         await self.acquire()
 
-    async def test_an_application_is_not_kept_waiting_by_a_trainer(self):
+    async def test_an_application_is_not_delayed_by_a_trainer(self):
         grants = await self.fill()
         trainers = [self.start() for _ in range(20)]
         await eventually(lambda: self.owner.queued("lm-1") == 20)
--- a/test/test_apps.py
+++ b/test/test_apps.py
@@ -1,4 +1,4 @@
-"""Application requests are answered whole, and run at most once when they must."""
+"""Application requests get complete responses; non-idempotent ones run at most once."""
 
 import json
 import unittest
@@ -63,11 +63,11 @@
 
 
 class ApplicationsTest(AppsTestCase):
-    async def test_the_answer_is_passed_on_whole(self):
+    async def test_the_response_is_forwarded_complete(self):
         answer = await self.fetch(make_request("GET", "/panel/7?a=1"))
         self.assertEqual(json.loads(answer.body)["panel"], "/panel/7?a=1")
 
-    async def test_a_note_whose_answer_is_lost_is_not_sent_again(self):
+    async def test_a_note_whose_response_is_lost_is_not_retried(self):
         other, server = await self.start_app(name="two")
         self.lease.replace(fakes.upstream("app-2", "app", port=server.port))
         modes = (
@@ -83,7 +83,7 @@
                 self.assertEqual(error.kind, ErrorKind.UPSTREAM_FAILED)
                 self.assertEqual(self.app.received + other.received, before + 1)
 
-    async def test_an_idempotent_request_moves_on(self):
+    async def test_an_idempotent_request_is_retried_elsewhere(self):
         self.app.mode = standin.CLOSE_AFTER_RUN
         other, server = await self.start_app(name="two")
         self.lease.replace(fakes.upstream("app-2", "app", port=server.port))
@@ -91,7 +91,7 @@
             answer = await self.fetch(make_request("GET", f"/panel/{i}"))
             self.assertEqual(json.loads(answer.body)["app"], "two")
 
-    async def test_a_note_that_no_byte_was_written_of_may_move_on(self):
+    async def test_a_note_of_which_no_byte_was_written_is_retried(self):
         self.add_dead_upstream()
         for i in range(10):
             answer = await self.fetch(make_request(note_id=f"n{i}"))
@@ -99,19 +99,19 @@
         self.assertEqual(set(self.app.count_by_id.values()), {1})
         self.assertEqual(len(self.app.count_by_id), 10)
 
-    async def test_not_run_is_said_only_when_it_was_not(self):
+    async def test_not_run_is_reported_only_when_it_holds(self):
         await self.server.close()
         error = await self.fetch_error(make_request())
         self.assertEqual(error.answer.ran, "not run")
         self.assertEqual(self.app.received, 0)
 
-    async def test_a_failure_that_may_have_run_outweighs_a_later_refusal(self):
+    async def test_a_failure_that_may_have_run_outweighs_a_later_rejection(self):
         self.app.mode = standin.CLOSE_AFTER_RUN
         error = await self.fetch_error(make_request("PUT"))
-        # No other upstream is left, but the first may have run it.
+        # No other upstream is left, but the first may have run the request.
         self.assertEqual(error.kind, ErrorKind.UPSTREAM_FAILED)
 
-    async def test_a_body_that_ends_early_is_an_error(self):
+    async def test_a_truncated_body_is_an_error(self):
         self.app.mode = standin.WRONG_LENGTH
         error = await self.fetch_error(make_request("GET", "/panel/1"))
         self.assertEqual(error.kind, ErrorKind.UPSTREAM_FAILED)
@@ -121,18 +121,18 @@
         self.assertEqual(error.answer.ran, "not run")
         self.assertEqual(self.http.requests, 0)
 
-    async def test_retries_stay_within_their_budget(self):
+    async def test_retries_stay_within_the_budget(self):
         self.app.mode = standin.CLOSE_AFTER_RUN
         other, server = await self.start_app(name="two", mode=standin.CLOSE_AFTER_RUN)
         self.lease.replace(fakes.upstream("app-2", "app", port=server.port))
         for i in range(200):
             await self.fetch_error(make_request("GET", f"/panel/{i}"))
-        # A tenth of the requests, and what an idle pool may save up.
+        # A tenth of the requests, plus the retries that an idle pool may accumulate.
         self.assertLessEqual(self.http.requests, 200 + 20 + 10)
 
 
 class PlacementTest(unittest.TestCase):
-    def test_a_prefix_stays_on_one_upstream_until_that_has_too_much(self):
+    def test_a_prefix_stays_on_one_upstream_up_to_its_maximum_load(self):
         lease = fakes.FakeLease(*(fakes.upstream(f"lm-{i}") for i in range(4)))
         placement = Placement(zone="zone-a", lease=lease, policy=PrefixAffinity())
         home = placement.choose("lm", "prefix")
@@ -140,7 +140,7 @@
         for _ in range(8):
             chosen = placement.choose("lm", "prefix")
             placement.begin(chosen)
-        # Eight streams of one prefix are spread with little more than the mean.
+        # Eight streams of one prefix are distributed with little more than the mean.
         self.assertLessEqual(max(placement.in_flight_by_upstream.values()), 3)
 
     def names(self, lease, **options):
@@ -149,7 +149,7 @@
         )
         return [u.name for u in placement.usable("lm")]
 
-    def test_every_zone_that_answers_takes_work(self):
+    def test_every_live_zone_accepts_requests(self):
         lease = fakes.FakeLease(fakes.upstream("a"), fakes.upstream("b", zone="zone-b"))
         self.assertEqual(self.names(lease), ["a", "b"])
         self.assertEqual(self.names(lease, is_zone_live=lambda zone: False), ["a"])
@@ -158,7 +158,7 @@
         self.assertEqual(self.names(lease, is_zone_live=lambda zone: False), ["b"])
         self.assertEqual(self.names(lease, is_leaving=lambda name: True), [])
 
-    def test_the_own_zone_goes_first_while_it_has_room(self):
+    def test_the_local_zone_is_preferred_while_it_has_capacity(self):
         lease = fakes.FakeLease(
             *(fakes.upstream(f"b{i}", zone="zone-b", slots=2) for i in range(5)),
             fakes.upstream("a", slots=2),
@@ -172,7 +172,7 @@
             self.assertEqual(names[:own], ["a"] * own)
             self.assertNotEqual(names[own], "a")
 
-    def test_unhealthy_upstreams_are_passed_over(self):
+    def test_unhealthy_upstreams_are_skipped(self):
         class Health:
             def usable(self, names):
                 return [name for name in names if name != "a"]
--- a/test/test_completions.py
+++ b/test/test_completions.py
@@ -1,4 +1,4 @@
-"""Completions name their versions and move from engine to engine."""
+"""Completions state their weight versions and fail over between engines."""
 
 import asyncio
 import contextlib
@@ -87,7 +87,7 @@
             await self.chunks(*args, **options)
         return caught.exception
 
-    def check_whole(self, chunks, tokens=20):
+    def check_complete(self, chunks, tokens=20):
         text = "".join(chunk.text for chunk in chunks)
         self.assertEqual(text, standin.expected_text(PROMPT, 7, tokens))
         self.assertEqual(sum(chunk.tokens for chunk in chunks), tokens)
@@ -95,13 +95,13 @@
 
 
 class CompletionsTest(CompletionsTestCase):
-    async def test_a_whole_text_names_its_version(self):
+    async def test_a_complete_output_states_its_version(self):
         chunks = await self.chunks()
-        self.check_whole(chunks)
+        self.check_complete(chunks)
         self.assertEqual({chunk.version for chunk in chunks}, {1})
         self.assertEqual(self.owner.in_flight("lm-1"), 0)
 
-    async def test_a_failed_stream_goes_on_elsewhere_from_its_tokens(self):
+    async def test_a_failed_stream_resumes_on_another_engine(self):
         self.engines_by_name["lm-1"].options.cut_after = 8
         other = await self.add_engine("lm-2", version=2)
         self.lease.replace(
@@ -112,7 +112,7 @@
             )
         )
         chunks = await self.chunks()
-        self.check_whole(chunks)
+        self.check_complete(chunks)
         segments = [(s.version, s.tokens) for s in merge_by_version(chunks)]
         self.assertEqual(segments, [(1, 8), (2, 12)])
         self.assertEqual(other.tokens, 12)
@@ -124,10 +124,10 @@
             chunks.append(chunk)
             if len(chunks) == 5:
                 self.engines_by_name["lm-1"].options.version = 2
-        self.check_whole(chunks, 40)
+        self.check_complete(chunks, 40)
         self.assertEqual([s.version for s in merge_by_version(chunks)], [1, 2])
 
-    async def test_a_silent_engine_is_left_long_before_the_deadline(self):
+    async def test_an_unresponsive_engine_is_left_long_before_the_deadline(self):
         self.engines_by_name["lm-1"].options.silent_after = 3
         await self.add_engine("lm-2")
         self.lease.replace(
@@ -137,7 +137,7 @@
                 port=self.lease.configuration.upstreams_by_name["lm-2"].port,
             )
         )
-        self.check_whole(await self.chunks())
+        self.check_complete(await self.chunks())
 
     async def test_an_engine_that_sends_only_comments_is_left_too(self):
         self.engines_by_name["lm-1"].options.silent_after = 3
@@ -150,9 +150,9 @@
                 port=self.lease.configuration.upstreams_by_name["lm-2"].port,
             )
         )
-        self.check_whole(await self.chunks())
+        self.check_complete(await self.chunks())
 
-    async def test_a_stream_without_its_end_mark_is_an_error(self):
+    async def test_a_stream_without_an_end_of_stream_marker_is_an_error(self):
         self.engines_by_name["lm-1"].options.end_mark = False
         stream = self.engine_client.stream(
             self.lease.configuration.upstreams_by_name["lm-1"],
@@ -167,7 +167,7 @@
             [chunk async for chunk in stream]
         self.assertEqual(caught.exception.kind, ErrorKind.UPSTREAM_FAILED)
 
-    async def test_a_text_is_not_ended_by_a_stream_without_its_end_mark(self):
+    async def test_an_output_is_not_finished_without_an_end_of_stream_marker(self):
         self.engines_by_name["lm-1"].options.end_mark = False
         chunks = []
         with self.assertRaises(ServiceError):
@@ -175,12 +175,12 @@
                 chunks.append(chunk)
         self.assertEqual([p.finish_reason for p in chunks if p.finish_reason], [])
 
-    async def test_an_engine_that_states_no_version_gives_nothing(self):
+    async def test_an_engine_that_states_no_version_is_an_error(self):
         self.engines_by_name["lm-1"].options.state_version = False
         error = await self.error()
         self.assertEqual(error.kind, ErrorKind.UPSTREAM_FAILED)
 
-    async def test_tokens_that_are_too_old_end_the_stream(self):
+    async def test_tokens_of_an_outdated_version_end_the_stream(self):
         error = await self.error(min_version=2)
         self.assertEqual(error.kind, ErrorKind.VERSION_CONFLICT)
         engine = self.engines_by_name["lm-1"]
@@ -200,7 +200,7 @@
         await asyncio.gather(*(self.chunks() for _ in range(12)))
         self.assertLessEqual(self.engines_by_name["lm-1"].max_running, 2)
 
-    async def test_orders_with_an_old_fencing_number_are_refused(self):
+    async def test_load_orders_with_an_old_fencing_number_are_rejected(self):
         upstream = self.lease.configuration.upstreams_by_name["lm-1"]
         order = self.engine_client.order
         options = {"model": "lm", "timeout_ms": 60_000}
@@ -211,7 +211,7 @@
         state = await self.engine_client.state(upstream, timeout_ms=60_000)
         self.assertEqual((state.model, state.version), ("lm", 2))
 
-    async def test_a_failed_swap_is_told_by_the_version_read_back(self):
+    async def test_a_failed_swap_shows_in_the_version_read_back(self):
         self.engines_by_name["lm-1"].options.fail_swap = True
         upstream = self.lease.configuration.upstreams_by_name["lm-1"]
         version = await self.engine_client.order(
--- a/test/test_fair_queue.py
+++ b/test/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Queues keep to the accounts' shares, and refuse early."""
+"""Queues serve accounts by their shares, and reject early."""
 
 import collections
 import unittest
@@ -43,34 +43,34 @@
             self.push("small", share=1, cost=10)
         self.assertEqual(self.tokens_of(100), {"big": 750, "small": 250})
 
-    def test_costly_requests_count_for_more(self):
+    def test_expensive_requests_count_for_more(self):
         for _ in range(200):
             self.push("costly", cost=40)
             self.push("cheap", cost=10)
         tokens = self.tokens_of(100)
         self.assertAlmostEqual(tokens["costly"], tokens["cheap"], delta=40)
 
-    def test_an_idle_share_is_lent_out_and_is_back_at_once(self):
+    def test_an_idle_share_is_used_by_others_and_regained_at_once(self):
         for _ in range(100):
             self.push("busy")
         self.assertEqual(self.tokens_of(50)["busy"], 500)
         for _ in range(50):
             self.push("back")
-        # Neither is held to the past: from here on they alternate.
+        # Past usage does not count for either account: from here on they alternate.
         self.assertEqual(self.tokens_of(20), {"busy": 100, "back": 100})
 
-    def test_an_account_that_comes_back_is_not_held_behind_expected_costs(self):
-        # A flood of requests that are expected to cost much and use little.
+    def test_a_returning_account_is_not_delayed_by_expected_costs(self):
+        # Many requests with a high expected cost and a low actual cost.
         for _ in range(300):
             self.push("flood", cost=200)
-        flying = [self.queue.pop() for _ in range(8)]
+        in_flight = [self.queue.pop() for _ in range(8)]
         for _ in range(300):
             self.push("back", share=4, cost=200)
         started = collections.Counter()
         for _ in range(200):
-            self.queue.record_usage(flying.pop(0), 20)
-            flying.append(self.queue.pop())
-            started[flying[-1].account] += 1
+            self.queue.record_usage(in_flight.pop(0), 20)
+            in_flight.append(self.queue.pop())
+            started[in_flight[-1].account] += 1
         self.assertGreaterEqual(started["back"], 150)
 
     def test_no_account_starves(self):
@@ -80,25 +80,25 @@
         taken = [self.queue.pop() for _ in range(60)]
         self.assertIn(entry, taken)
 
-    def test_applications_together_keep_their_floor(self):
+    def test_applications_together_get_their_minimum_share(self):
         self.queue = self.make_queue(floor_percent=20)
         for _ in range(500):
             self.push("trainer", share=99)
             self.push("app", share=1, kind="application")
         self.assertEqual(self.tokens_of(100)["app"], 200)
 
-    def test_the_plain_queue_serves_who_came_first(self):
+    def test_the_fifo_queue_serves_the_oldest_first(self):
         self.queue = self.make_queue(order=FirstComeFirstServed())
         pushed = [self.push(name) for name in ("a", "a", "b", "a", "b")]
         self.assertEqual([self.queue.pop() for _ in pushed], pushed)
 
-    def test_the_plain_queue_refuses_nothing(self):
+    def test_without_early_rejection_nothing_is_rejected(self):
         self.queue = self.make_queue(max_length=1, rejects_early=False)
         for _ in range(3):
             self.push("a")
         self.assertEqual(len(self.queue), 3)
 
-    def test_unused_tokens_are_given_back(self):
+    def test_unused_tokens_are_not_charged(self):
         first = self.push("a", cost=1000)
         self.push("a")
         self.push("b")
@@ -106,7 +106,7 @@
         self.queue.record_usage(first, 0)
         self.assertEqual({self.queue.pop().account for _ in range(2)}, {"a", "b"})
 
-    def test_a_full_queue_refuses(self):
+    def test_a_full_queue_rejects(self):
         self.queue = self.make_queue(max_length=1)
         self.push("a")
         with self.assertRaises(ServiceError) as caught:
@@ -114,7 +114,7 @@
         self.assertEqual(caught.exception.kind, ErrorKind.OVERLOADED)
         self.assertGreater(caught.exception.retry_after_ms, 0)
 
-    def test_a_deadline_that_cannot_be_met_is_refused_by_the_drain_rate(self):
+    def test_a_deadline_that_cannot_be_met_is_rejected_by_the_drain_rate(self):
         for _ in range(20):
             self.push("a")
         for _ in range(10):
@@ -127,7 +127,7 @@
         self.assertEqual(caught.exception.kind, ErrorKind.OVERLOADED)
         self.assertEqual(caught.exception.retry_after_ms, 1200)
 
-    def test_what_could_not_end_in_time_waits_no_longer(self):
+    def test_the_maximum_wait_leaves_time_to_run(self):
         self.assertEqual(self.queue.max_wait_ms("a", 5000), 5000)
         for _ in range(3):
             self.push("a")
@@ -136,16 +136,16 @@
             self.queue.record_usage(entry, 10)
         self.assertEqual(self.queue.max_wait_ms("a", 5000), 3000)
         self.assertGreater(self.queue.max_wait_ms("a", 1000), 0)
-        plain = self.make_queue(rejects_early=False)
-        self.assertEqual(plain.max_wait_ms("a", 5000), 5000)
+        late_rejecting = self.make_queue(rejects_early=False)
+        self.assertEqual(late_rejecting.max_wait_ms("a", 5000), 5000)
 
-    def test_a_halted_queue_shows_in_the_expected_wait(self):
-        self.test_a_deadline_that_cannot_be_met_is_refused_by_the_drain_rate()
+    def test_a_stalled_queue_shows_in_the_expected_wait(self):
+        self.test_a_deadline_that_cannot_be_met_is_rejected_by_the_drain_rate()
         self.clock.ms += 5000
         with self.assertRaises(ServiceError):
             self.push("a", within_ms=20_000)
 
-    def test_expired_entries_are_taken_out(self):
+    def test_expired_entries_are_removed(self):
         late = self.push("a", within_ms=5)
         self.push("a")
         self.clock.ms += 10
--- a/test/test_idempotency_keys.py
+++ b/test/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""A keyed request is sent at most once, and the app's own count is the witness."""
+"""A request with a key is run at most once, as counted by the application itself."""
 
 import asyncio
 import types
@@ -23,7 +23,7 @@
 
 
 class ShiftedClock(Clock):
-    """The real clock, which a test can set forward as a freeze would."""
+    """The real clock, which a test can set forward as a process pause would."""
 
     __slots__ = ("ahead_ms",)
 
@@ -35,12 +35,12 @@
 
 
 class FakeTable:
-    """A table service with outages and lost answers."""
+    """A table service with outages, lost replies and lost writes."""
 
     def __init__(self):
         self.row_by_key = {}
         self.down = False
-        self.lost_answers = 0
+        self.lost_replies = 0
         self.lost_writes = 0
 
     async def scan(self, table, prefix):
@@ -55,8 +55,8 @@
             self.lost_writes -= 1
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN)
         result = self._apply(checks, writes)
-        if self.lost_answers:
-            self.lost_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise ServiceError(ErrorKind.OUTCOME_UNKNOWN)
         return result
 
@@ -131,33 +131,33 @@
     def check_ran(self, times):
         self.assertEqual(self.app.count_by_id["POST n1"], times)
 
-    def freeze(self, host, duration_ms):
-        """Let a host's clock run on just before its next request is sent."""
+    def pause(self, host, duration_ms):
+        """Return a callback for ``before_connect`` that sets a host's clock forward."""
 
-        async def run_on():
+        async def advance():
             self.clock_by_host[HOSTS[host]].ahead_ms += duration_ms
 
-        return run_on
+        return advance
 
 
 class EitherKindTest:
-    """What holds for both kinds of key; ``new_key`` gives one."""
+    """Tests for both kinds of key; ``new_key`` returns one."""
 
-    async def test_a_repeat_gets_the_recorded_answer_through_any_host(self):
+    async def test_a_repeat_gets_the_recorded_response_through_any_host(self):
         key = self.new_key()
         first = await self.send(key)
         for host in (0, 1):
             self.assertEqual((await self.send(key, host=host)).body, first.body)
         self.check_ran(1)
 
-    async def test_repeats_at_once_through_two_hosts_run_once(self):
+    async def test_concurrent_repeats_through_two_hosts_run_once(self):
         self.app.mode = standin.SLOW
         key = self.new_key()
         answers = await asyncio.gather(*(self.send(key, host=i % 2) for i in range(20)))
         self.assertEqual(len({answer.body for answer in answers}), 1)
         self.check_ran(1)
 
-    async def test_a_lost_answer_is_unknown_and_never_sent_again(self):
+    async def test_a_lost_response_is_unknown_and_never_retried(self):
         self.app.mode = standin.CLOSE_AFTER_RUN
         key = self.new_key()
         self.assertEqual(await self.send_error(key), ErrorKind.OUTCOME_UNKNOWN)
@@ -167,7 +167,7 @@
             self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.check_ran(1)
 
-    async def test_the_same_key_with_another_body_is_refused(self):
+    async def test_the_same_key_with_another_body_is_rejected(self):
         key = self.new_key()
         await self.send(key)
         for host in (0, 1):
@@ -175,7 +175,7 @@
             self.assertEqual(kind, ErrorKind.KEY_REUSED)
         self.check_ran(1)
 
-    async def test_a_request_that_was_not_run_may_be_sent_again(self):
+    async def test_a_request_that_was_not_run_may_be_retried(self):
         dead = fakes.upstream("app-1", "app", port=_common.free_port())
         self.lease.replace(dead)
         key = self.new_key()
@@ -186,7 +186,7 @@
         await self.send(key)
         self.check_ran(1)
 
-    async def test_a_caller_that_goes_does_not_stop_the_request(self):
+    async def test_a_caller_that_disconnects_does_not_stop_the_request(self):
         self.app.mode = standin.SLOW
         key = self.new_key()
         asking = asyncio.create_task(self.send(key))
@@ -195,7 +195,7 @@
         self.assertEqual((await self.send(key)).status, 201)
         self.check_ran(1)
 
-    async def test_a_repeat_that_cannot_wait_is_told_so(self):
+    async def test_a_repeat_that_cannot_wait_is_in_progress(self):
         self.app.mode = standin.SLOW
         self.app.slow_s = 0.5
         key = self.new_key()
@@ -207,7 +207,7 @@
         await first
         self.check_ran(1)
 
-    async def test_an_answer_too_large_to_keep_is_given_once(self):
+    async def test_a_response_too_large_to_cache_is_returned_once(self):
         key = self.new_key()
         answer = await self.send(key, target="/large")
         self.assertEqual(len(answer.body), standin.LARGE_BODY_BYTES)
@@ -220,7 +220,7 @@
 class MintedKeyTest(EitherKindTest, KeysTestCase):
     new_key = KeysTestCase.mint
 
-    async def test_it_works_while_the_platform_is_down(self):
+    async def test_it_works_while_the_platform_is_unavailable(self):
         self.table.down = True
         await self.send(self.mint(), host=1)
         self.check_ran(1)
@@ -240,13 +240,13 @@
         kind = await self.send_error(key, host=1)
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
 
-    async def test_a_dead_or_cut_off_host_gives_unknown_and_sends_nothing(self):
+    async def test_a_dead_or_partitioned_host_is_unknown_and_nothing_is_sent(self):
         key = self.mint()
-        self.network.cut.add(HOSTS[0])
+        self.network.partitioned.add(HOSTS[0])
         kind = await self.send_error(key, host=1)
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.membership.set_state(HOSTS[0], "dead")
-        self.network.cut.clear()
+        self.network.partitioned.clear()
         kind = await self.send_error(key, host=1)
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.check_ran(0)
@@ -260,7 +260,7 @@
             self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         self.check_ran(1)
 
-    async def test_an_old_key_is_never_sent(self):
+    async def test_an_expired_key_is_never_sent(self):
         key = self.mint()
         self.clock_by_host[HOSTS[0]].ahead_ms += 600_001
         for host in (0, 1):
@@ -268,29 +268,29 @@
             self.assertEqual(kind, ErrorKind.KEY_EXPIRED)
         self.check_ran(0)
 
-    async def test_a_key_that_grows_old_in_a_freeze_is_not_sent(self):
+    async def test_a_key_that_expires_in_a_process_pause_is_not_sent(self):
         self.lease.replace(fakes.upstream("app-0", "app", port=_common.free_port()))
         del self.lease.configuration.upstreams_by_name["app-1"]
         key = self.mint()
-        frozen = self.freeze(0, 600_001)
+        paused = self.pause(0, 600_001)
 
-        async def freeze_then_serve():
-            await frozen()
+        async def pause_then_serve():
+            await paused()
             self.lease.replace(fakes.upstream("app-1", "app", port=self.server.port))
 
-        self.http.before_connect = freeze_then_serve
+        self.http.before_connect = pause_then_serve
         kind = await self.send_error(key, timeout_ms=10**7)
         self.assertEqual(kind, ErrorKind.KEY_EXPIRED)
         self.check_ran(0)
 
-    async def test_a_forged_or_foreign_key_is_refused(self):
+    async def test_a_forged_or_foreign_key_is_rejected(self):
         key = self.mint()
         forged = key[:-1] + ("0" if key[-1] != "0" else "1")
         foreign = self.keys_by_host[HOSTS[0]].mint("another")
         for bad in (forged, foreign, "gk1.", "gk1.a.b.c.d.e", "gk1.é"):
             self.assertEqual(await self.send_error(bad), ErrorKind.BAD_REQUEST, bad)
 
-    async def test_a_key_within_its_lifetime_is_never_forgotten_for_room(self):
+    async def test_a_key_within_its_lifetime_is_never_evicted(self):
         host = HOSTS[0]
         self.keys_by_host[host] = self.make_host(host, max_remembered=2)
         keys = [self.mint() for _ in range(3)]
@@ -307,7 +307,7 @@
     def new_key(self):
         return "note-17"
 
-    async def test_without_the_platform_nothing_is_sent(self):
+    async def test_nothing_is_sent_while_the_platform_is_unavailable(self):
         self.table.down = True
         kind = await self.send_error("note-17")
         self.assertEqual(kind, ErrorKind.PLATFORM_UNAVAILABLE)
@@ -316,33 +316,33 @@
         await self.send("note-17")
         self.check_ran(1)
 
-    async def test_a_lost_answer_of_the_claim_is_settled(self):
-        self.table.lost_answers = 1
+    async def test_a_lost_reply_to_the_claim_is_resolved(self):
+        self.table.lost_replies = 1
         await self.send("note-17")
         self.check_ran(1)
         self.table.lost_writes = 1
         await self.send("note-18", note_id="n2")
         self.assertEqual(self.app.count_by_id["POST n2"], 1)
 
-    async def test_a_host_that_freezes_after_its_claim_does_not_send(self):
+    async def test_a_host_paused_after_its_claim_does_not_send(self):
         transact = self.table.transact
 
-        async def frozen(checks, writes):
+        async def paused(checks, writes):
             result = await transact(checks, writes)
             self.clock_by_host[HOSTS[0]].ahead_ms += SEND_WINDOW_MS
             return result
 
-        self.table.transact = frozen
+        self.table.transact = paused
         kind = await self.send_error("note-17")
         self.assertEqual(kind, ErrorKind.QUEUE_TIMEOUT)
         self.check_ran(0)
 
-    async def test_a_claim_of_a_dead_host_gives_unknown(self):
+    async def test_a_claim_of_an_unreachable_host_is_unknown(self):
         self.app.mode = standin.SLOW
         self.app.slow_s = 0.2
         first = asyncio.create_task(self.send("note-17"))
         await eventually(lambda: self.app.received)
-        self.network.cut.add(HOSTS[0])
+        self.network.partitioned.add(HOSTS[0])
         kind = await self.send_error("note-17", host=1)
         self.assertEqual(kind, ErrorKind.OUTCOME_UNKNOWN)
         await first
@@ -352,11 +352,11 @@
         first = await self.send("note-17")
         row = self.table.row_by_key
         await eventually(lambda: row[f"{ACCOUNT}/note-17"].version == 2)
-        self.network.cut.add(HOSTS[0])
+        self.network.partitioned.add(HOSTS[0])
         self.assertEqual((await self.send("note-17", host=1)).body, first.body)
         self.check_ran(1)
 
-    async def test_only_old_claims_are_swept(self):
+    async def test_only_old_claims_are_deleted(self):
         await self.send("note-17")
         await eventually(
             lambda: self.table.row_by_key[f"{ACCOUNT}/note-17"].version > 1
@@ -377,19 +377,19 @@
             self.assertEqual(await sweeper.sweep(), 1)
         self.assertEqual(self.table.row_by_key, {})
 
-    async def test_a_malformed_key_is_refused(self):
+    async def test_a_malformed_key_is_rejected(self):
         for key in ("", "a/b", "x" * 129, "a b"):
             self.assertEqual(await self.send_error(key), ErrorKind.BAD_REQUEST)
 
 
 class OutageTest(KeysTestCase):
-    async def test_notes_that_land_while_the_platform_is_down(self):
+    async def test_notes_accepted_while_the_platform_is_unavailable(self):
         self.table.down = True
-        landed = types.SimpleNamespace(minted=0, claimed=0)
+        accepted = types.SimpleNamespace(minted=0, claimed=0)
         for i in range(20):
             await self.send(self.mint(i % 2), host=(i + 1) % 2, note_id=f"m{i}")
-            landed.minted += 1
+            accepted.minted += 1
             kind = await self.send_error(f"c{i}", note_id=f"c{i}")
             self.assertEqual(kind, ErrorKind.PLATFORM_UNAVAILABLE)
-        self.assertEqual((landed.minted, landed.claimed), (20, 0))
+        self.assertEqual((accepted.minted, accepted.claimed), (20, 0))
         self.assertEqual(sum(self.app.count_by_id.values()), 20)
--- a/test/test_outcome_cache.py
+++ b/test/test_outcome_cache.py
@@ -1,4 +1,4 @@
-"""The memory of keys stays within a daemon's budget when it is full."""
+"""A full outcome cache stays within its share of a daemon's memory budget."""
 
 import tracemalloc
 import unittest
@@ -16,11 +16,11 @@
 
 
 class OutcomeCacheTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_full_memory_fits_into_the_budget(self):
+    async def test_a_full_cache_fits_into_the_budget(self):
         clock = Clock()
         settings = _common.make_settings().idempotency
-        memory = OutcomeCache(clock=clock, settings=settings)
-        self.addAsyncCleanup(memory.close)
+        cache = OutcomeCache(clock=clock, settings=settings)
+        self.addAsyncCleanup(cache.close)
 
         async def answer():
             return AppResponse(201, ((b"date", bytes(30)),), bytes(BODY_BYTES))
@@ -31,9 +31,9 @@
             for i in range(BUDGET_BYTES):
                 key = "account", f"gk1.host-1.{i:040}"
                 expires_ms = clock.now_ms() + LIFETIME_MS
-                outcome = memory.start(key, f"{i:064}", expires_ms, answer)
+                outcome = cache.start(key, f"{i:064}", expires_ms, answer)
                 if not i % BATCH:
                     await outcome.wait()
         self.assertEqual(caught.exception.kind, ErrorKind.OVERLOADED)
-        self.assertEqual(len(memory), settings.max_remembered)
+        self.assertEqual(len(cache), settings.max_remembered)
         self.assertLess(tracemalloc.get_traced_memory()[0], BUDGET_BYTES)
--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -1,4 +1,4 @@
-"""The callers' routes, from a socket to the stand-ins and back."""
+"""The routes for callers, end to end from a socket to stand-in upstreams."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 class RoutesTestCase(unittest.IsolatedAsyncioTestCase):
     async def serve(self):
-        """Start a server and return it, with what routes need."""
+        """Return a server that is not started, and the common arguments of routes."""
         self.settings = _common.make_settings()
         server = HttpServer(clock=Clock(), settings=self.settings, metrics=Metrics())
         return server, {
@@ -46,7 +46,7 @@
 
 
 class RecordingKeys(IdempotencyKeys):
-    """Keys that only say what they were asked."""
+    """Keys that record their uses and send each request without a check."""
 
     def __init__(self, applications):
         self.applications = applications
@@ -76,26 +76,26 @@
         await server.start()
         self.addAsyncCleanup(server.stop, 0)
 
-    async def test_path_query_and_answer_pass_unchanged(self):
+    async def test_path_query_and_response_are_forwarded_unchanged(self):
         answer = await self.ask("GET", "/apps/app/panel/a%2Fb%20c?x=%C3%A9&y")
         self.assertEqual(
             json.loads(answer.body)["panel"], "/panel/a%2Fb%20c?x=%C3%A9&y"
         )
 
-    async def test_every_method_is_passed_on(self):
+    async def test_every_method_is_forwarded(self):
         for method in app_routes.METHODS:
             answer = await self.ask(method, "/apps/app/things/1")
             self.assertIn(answer.status, (200, 201), method)
             self.assertEqual(self.app.count_by_id[f"{method} /things/1"], 1)
 
-    async def test_the_answer_to_head_states_the_length_of_the_body(self):
+    async def test_the_response_to_head_states_the_length_of_the_body(self):
         whole = await self.ask("GET", "/apps/app/x")
         head = await self.ask("HEAD", "/apps/app/x")
         self.assertEqual(head.body, b"")
         lengths = {dict(a.headers)[b"content-length"] for a in (whole, head)}
         self.assertEqual(lengths, {str(len(whole.body)).encode()})
 
-    async def test_a_large_answer_is_whole(self):
+    async def test_a_large_response_is_complete(self):
         answer = await self.ask("GET", "/apps/app/large")
         self.assertEqual(len(answer.body), app_standin.LARGE_BODY_BYTES)
 
@@ -110,7 +110,7 @@
         self.assertEqual(seen[0]["x-kept"], "1")
         self.assertTrue(seen[0]["x-request-id"])
 
-    async def test_only_an_account_with_the_pool_gets_through(self):
+    async def test_only_an_account_with_the_pool_is_authorized(self):
         self.assertEqual(await self.code_of("GET", "/apps/app/x", "other"), "forbidden")
         self.assertEqual(
             await self.code_of("GET", "/apps/app/x", "nobody"), "unauthorized"
@@ -128,7 +128,7 @@
             await self.ask(method, "/apps/app/x", headers=key)
         self.assertEqual(self.keys.used, [("clinic", "k1")] * 2)
 
-    async def test_a_body_cut_short_is_no_answer(self):
+    async def test_a_truncated_body_is_an_upstream_failure(self):
         self.app.mode = app_standin.WRONG_LENGTH
         code = await self.code_of("GET", "/apps/app/x")
         self.assertEqual(code, "upstream_failed")
@@ -160,14 +160,14 @@
         body = json.dumps(asked | options).encode()
         return self.ask("POST", "/v1/completions", "trainer", body=body)
 
-    async def test_a_whole_answer_names_its_versions(self):
+    async def test_a_complete_response_states_its_versions(self):
         answer = json.loads((await self.complete()).body)
         expected = engine_standin.expected_text(PROMPT, 7, 20)
         self.assertEqual(answer["choices"][0]["text"], expected)
         segments = [(s["version"], s["tokens"]) for s in answer["segments"]]
         self.assertEqual(segments, [(1, 20)])
 
-    async def test_a_stream_ends_with_its_mark(self):
+    async def test_a_stream_ends_with_its_marker(self):
         events = (await self.complete(stream=True)).body.decode().split("\n\n")
         self.assertEqual(events[-2:], ["data: [DONE]", ""])
         decoded = [json.loads(e.removeprefix("data: ")) for e in events[:-2]]
@@ -175,7 +175,7 @@
         self.assertEqual(text, engine_standin.expected_text(PROMPT, 7, 20))
         self.assertEqual({e["version"] for e in decoded}, {1})
 
-    async def test_a_stream_that_fails_ends_with_an_error_and_no_mark(self):
+    async def test_a_stream_that_fails_ends_with_an_error_and_no_marker(self):
         self.engines_by_name["lm-1"].options.cut_after = 5
         body = (await self.complete(stream=True)).body
         self.assertNotIn(b"[DONE]", body)
@@ -187,11 +187,11 @@
         name = "goldcrestmoor_requests_total"
         self.assertEqual(self.metrics.registry.get_sample_value(name, labels), 1)
 
-    async def test_a_failure_before_the_first_token_has_its_own_status(self):
+    async def test_a_failure_before_the_first_token_has_an_error_status(self):
         self.engines_by_name["lm-1"].options.state_version = False
         self.assertEqual((await self.complete(stream=True)).status, 502)
 
-    async def test_a_caller_that_goes_frees_the_engine(self):
+    async def test_a_caller_that_disconnects_frees_the_engine(self):
         asking = asyncio.create_task(self.complete(stream=True, max_tokens=100_000))
         engine = self.engines_by_name["lm-1"]
         await _common.eventually(lambda: engine.tokens > 5)
@@ -199,7 +199,7 @@
         await _common.eventually(lambda: engine.running == 0)
         await _common.eventually(lambda: self.owner.in_flight("lm-1") == 0)
 
-    async def test_bad_requests_are_refused(self):
+    async def test_bad_requests_are_rejected(self):
         for options in ({"max_tokens": 0}, {"max_tokens": "x"}, {"prompt": None}):
             self.assertEqual((await self.complete(**options)).status, 400)
         self.assertEqual((await self.complete(model="none")).status, 403)
--- a/test/test_streaming.py
+++ b/test/test_streaming.py
@@ -1,4 +1,4 @@
-"""What a stream's course says of its engine, and what is logged of it."""
+"""How the end of a stream counts for its engine, and what is logged."""
 
 import contextlib
 import unittest
@@ -43,15 +43,15 @@
 
 
 class FakeHttp:
-    """Streams chunks; then ends, or falls silent after some time.
+    """Streams one event; then ends, or fails with an idle timeout.
 
-    :param clock: moved on by the silence.
-    :param silent_ms: how long the stream is silent, or None for a whole one.
+    :param clock: advanced by the idle time.
+    :param idle_ms: the idle time before the timeout, or None for a complete stream.
     """
 
-    def __init__(self, clock, silent_ms=None):
+    def __init__(self, clock, idle_ms=None):
         self._clock = clock
-        self._silent_ms = silent_ms
+        self._idle_ms = idle_ms
 
     def has_idle(self, address, port):
         return True
@@ -62,8 +62,8 @@
 
     async def _body(self):
         yield b"id: 1\ndata: a\n\n"
-        if self._silent_ms is not None:
-            self._clock._now_ms += self._silent_ms
+        if self._idle_ms is not None:
+            self._clock._now_ms += self._idle_ms
             raise ServiceError(ErrorKind.UPSTREAM_TIMEOUT, "It fell silent.")
 
 
@@ -75,8 +75,8 @@
             for n in ("engine-1", "engine-2")
         ]
 
-    def make(self, silent_ms=None):
-        http = FakeHttp(self.clock, silent_ms)
+    def make_forwarder(self, idle_ms=None):
+        http = FakeHttp(self.clock, idle_ms)
         self.loads = UpstreamLoads(
             clock=self.clock,
             http=http,
@@ -96,8 +96,8 @@
     def chosen(self):
         return self.loads.choose(SERVICE, ()).name
 
-    async def test_a_whole_stream_clears_its_engine(self):
-        forwarder = self.make()
+    async def test_a_complete_stream_resets_its_engines_failures(self):
+        forwarder = self.make_forwarder()
         self.loads.record_failure(self.upstreams[0])
         self.loads.record_failure(self.upstreams[1])
         with self.assertLogs("goldcrestmoor.forward", "INFO") as logged:
@@ -105,14 +105,14 @@
         self.assertIn("Request s1 on route streams answered 200", logged.output[0])
         self.assertFalse(self.loads._failure_by_name.keys() >= {"engine-1", "engine-2"})
 
-    async def test_a_stream_that_outlasts_its_callers_patience_blames_no_engine(self):
-        forwarder = self.make(silent_ms=DEADLINE_MS)
+    async def test_a_stream_longer_than_its_callers_deadline_is_no_engine_failure(self):
+        forwarder = self.make_forwarder(idle_ms=DEADLINE_MS)
         with self.assertRaises(ServiceError):
             await self.read(forwarder)
         self.assertEqual(self.chosen(), "engine-1")
 
-    async def test_silence_within_a_stream_is_its_engines(self):
-        forwarder = self.make(silent_ms=DEADLINE_MS // 2)
+    async def test_an_idle_timeout_within_a_stream_is_an_engine_failure(self):
+        forwarder = self.make_forwarder(idle_ms=DEADLINE_MS // 2)
         with self.assertRaises(ServiceError):
             await self.read(forwarder)
         self.assertEqual(self.chosen(), "engine-2")
--- a/test/test_upstream_loads.py
+++ b/test/test_upstream_loads.py
@@ -1,4 +1,4 @@
-"""Which upstreams a host leaves alone, and for how long."""
+"""Which upstreams a host avoids after failures and timeouts."""
 
 import unittest
 from types import SimpleNamespace
@@ -26,21 +26,21 @@
     def chosen(self):
         return self.loads.choose(SERVICE, ()).name
 
-    def test_an_upstream_that_failed_is_left_alone(self):
+    def test_an_upstream_that_failed_is_avoided(self):
         self.assertEqual(self.chosen(), "desk-1")
         self.loads.record_failure(self.first)
         self.assertEqual(self.chosen(), "desk-2")
         self.loads.record_response(self.first, "panels")
         self.assertEqual(self.chosen(), "desk-1")
 
-    def test_a_route_that_is_always_late_says_nothing_of_its_upstreams(self):
-        """An operator allows 1 s to requests that take 3; a hundred come a minute."""
+    def test_timeouts_on_a_route_without_responses_are_no_failures(self):
+        """A hundred requests a minute take 3 s each on a route that allows 1 s."""
         self.loads.record_response(self.first, "panels")
         for _ in range(20):
             self.loads.record_timeout(self.first, "reports")
             self.assertEqual(self.chosen(), "desk-1")
 
-    def test_a_route_that_is_late_for_once_does(self):
+    def test_a_timeout_on_a_route_with_responses_is_a_failure(self):
         self.loads.record_response(self.first, "panels")
         self.loads.record_timeout(self.first, "panels")
         self.assertEqual(self.chosen(), "desk-2")
