--- a/goldcrestmoor/request/admission_owner.py
+++ b/goldcrestmoor/request/admission_owner.py
@@ -198,7 +198,7 @@
         """Drop expired grants and polls, and reject requests that cannot be served."""
         upstreams = self._lease.view().configuration.upstreams_by_name
         for name, slots in list(self._slots_by_upstream.items()):
-            slots.drop_lapsed()
+            slots.drop_expired()
             slots.reject_expired()
             if not self._accepts_requests(name):
                 slots.reject_all()
--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -72,7 +72,7 @@
         "_host_id",
         "_incarnation",
         "_table",
-        "_memory",
+        "_outcomes",
         "_applications",
         "_links",
         "_settings",
@@ -96,7 +96,7 @@
         self._host_id = host_id
         self._incarnation = str(incarnation)
         self._table = table
-        self._memory = memory
+        self._outcomes = memory
         self._applications = applications
         self._links = links
         self._settings = settings
@@ -121,7 +121,7 @@
             raise ServiceError(ErrorKind.BAD_REQUEST, "The key is malformed.")
         digest = request_digest(request)
         full_key = f"{account}/{key}"
-        outcome = self._memory.find(full_key, digest)
+        outcome = self._outcomes.find(full_key, digest)
         if outcome is None:
             expires_ms = self._clock.now_ms() + self._settings.key_lifetime_ms
 
@@ -130,8 +130,8 @@
                     full_key, digest, request, deadline, request_id, check
                 )
 
-            outcome = self._memory.start(full_key, digest, expires_ms, send)
-        return await self._memory.wait(outcome, deadline)
+            outcome = self._outcomes.start(full_key, digest, expires_ms, send)
+        return await self._outcomes.wait(outcome, deadline)
 
     async def close(self):
         """Cancel the outcome writes that are still running."""
@@ -261,14 +261,14 @@
 
     async def _on_ask_outcome(self, sender, message):
         key = f"{message.account}/{message.key}"
-        outcome = self._memory.find(key, message.digest)
+        outcome = self._outcomes.find(key, message.digest)
         if outcome is None and key in self._withdrawn_by_key:
             raise _platform_unavailable()
         if outcome is None:
             raise _outcome_unknown("This host has no record of the request.")
         remaining_ms = reply_timeout_ms(message.remaining_ms)
         deadline = Deadline.after(self._clock, remaining_ms)
-        return KeyedAnswer(await self._memory.wait(outcome, deadline))
+        return KeyedAnswer(await self._outcomes.wait(outcome, deadline))
 
     def _record(self, key, version, own_claim, state, answer=None):
         """Write the outcome in the background; delete a claim that was not used."""
@@ -286,7 +286,7 @@
     async def _write_outcome(self, key, version, value):
         checks = [Check(TABLE, key, version)]
         try:
-            with self._memory.hold():
+            with self._outcomes.hold():
                 await self._table.transact(checks, [Write(TABLE, key, value)])
         except ServiceError as e:
             log.info("Outcome of a claim not written: %s", e)
--- a/goldcrestmoor/request/fair_queue.py
+++ b/goldcrestmoor/request/fair_queue.py
@@ -234,7 +234,7 @@
                 self._remove(entry)
                 yield entry
 
-    def clear(self):
+    def pop_all(self):
         """Remove and yield every entry."""
         for entry in list(self.entries()):
             self._remove(entry)
--- a/goldcrestmoor/request/minted_keys.py
+++ b/goldcrestmoor/request/minted_keys.py
@@ -38,7 +38,7 @@
     __slots__ = (
         "_clock",
         "_mint",
-        "_memory",
+        "_outcomes",
         "_applications",
         "_links",
         "_membership",
@@ -60,7 +60,7 @@
     ):
         self._clock = clock
         self._mint = mint
-        self._memory = memory
+        self._outcomes = memory
         self._applications = applications
         self._links = links
         self._membership = membership
@@ -123,7 +123,7 @@
     ):
         digest = request_digest(request)
         full_key = f"{account}/{key}"
-        outcome = self._memory.find(full_key, digest)
+        outcome = self._outcomes.find(full_key, digest)
         if outcome is None:
             expires_ms = minted.minted_ms + self._settings.key_lifetime_ms
 
@@ -142,8 +142,8 @@
                     request, deadline, request_id, check
                 )
 
-            outcome = self._memory.start(full_key, digest, expires_ms, send)
-        return await self._memory.wait(outcome, deadline)
+            outcome = self._outcomes.start(full_key, digest, expires_ms, send)
+        return await self._outcomes.wait(outcome, deadline)
 
     async def _on_send(self, sender, message):
         minted = self._mint.parse(message.key, message.account)
@@ -156,7 +156,7 @@
             raise ServiceError(ErrorKind.FORBIDDEN, text)
         full_key = f"{message.account}/{message.key}"
         digest = request_digest(message.request)
-        if not self._memory.is_open and self._memory.find(full_key, digest) is None:
+        if not self._outcomes.is_open and self._outcomes.find(full_key, digest) is None:
             raise ServiceError(
                 ErrorKind.DRAINING, "The host that minted the key is shutting down."
             )
--- a/goldcrestmoor/request/slots.py
+++ b/goldcrestmoor/request/slots.py
@@ -122,7 +122,7 @@
 
     def reject_all(self):
         """Reject every queued request: the upstream accepts no new requests."""
-        for entry in self.queue.clear():
+        for entry in self.queue.pop_all():
             self.reject(entry, ErrorKind.NO_UPSTREAM)
 
     def reject(self, entry, kind):
@@ -169,7 +169,7 @@
         self.queue.record_usage(holder.entry, max(0, used_tokens))
         return holder.entry
 
-    def drop_lapsed(self):
+    def drop_expired(self):
         """Drop grants and queued requests that their hosts no longer renew or poll."""
         now_ms = self._clock.now_ms()
         self._drop_holders(lambda holder: holder.expires_ms <= now_ms)
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -74,7 +74,7 @@
         last_id, has_head, has_events = "", False, False
         while True:
             upstream = attempts.next_upstream()
-            reader = EventParser(self._dialect.EVENT_FIELDS)
+            parser = EventParser(self._dialect.EVENT_FIELDS)
             try:
                 async with self._open_stream(upstream, attempts, last_id) as response:
                     outcome = await self._check_response(
@@ -89,11 +89,11 @@
                             has_head = True
                             yield tuple(response.headers)
                         async for chunk in response.body():
-                            for event in reader.feed(chunk):
+                            for event in parser.feed(chunk):
                                 last_id = event.id or last_id
                                 has_events = True
                                 yield event.raw
-                        if not reader.has_partial_event:
+                        if not parser.has_partial_event:
                             self._loads.record_response(upstream, attempts.route.name)
                             return
                         outcome = FailedAttempt(
