--- a/goldcrestmoor/request/claims.py
+++ b/goldcrestmoor/request/claims.py
@@ -134,7 +134,7 @@
         return await self._outcomes.wait(outcome, deadline)
 
     async def close(self):
-        """Cancel the outcome writes that are still running."""
+        """Cancel the claim writes and withdrawals that are still running."""
         await self._tasks.close()
 
     async def _claim_and_send(
--- a/goldcrestmoor/request/completions.py
+++ b/goldcrestmoor/request/completions.py
@@ -201,7 +201,7 @@
         except ServiceError:
             if not progress.failures:
                 raise
-            # A request that may have run in an attempt is never reported as not run.
+            # A request that may have run is never reported as not run.
             raise error_to_report(progress.failures) from None
 
     def _skip_upstream(self, error, upstream, progress, request_id):
--- a/goldcrestmoor/request/outcome_cache.py
+++ b/goldcrestmoor/request/outcome_cache.py
@@ -205,7 +205,7 @@
         self._discard_uncached(outcome)
 
     def _discard_uncached(self, outcome):
-        """Drop a response that is too large to cache, once all waiters have it."""
+        """Drop a response that does not fit the cache, once all waiters have it."""
         if outcome.is_cached or outcome.waiters or outcome.answer is None:
             return
         text = (
--- a/goldcrestmoor/request/placement.py
+++ b/goldcrestmoor/request/placement.py
@@ -105,7 +105,7 @@
                 return self._least_loaded(usable)
 
     def usable(self, pool, avoid=()):
-        """Return the healthy upstreams that accept new requests, in live zones.
+        """Return the healthy upstreams that accept new requests, of live zones if any.
 
         :param pool: the pool's name.
         :param avoid: names of upstreams to skip.
