--- a/goldcrestmoor/request/app_routes.py
+++ b/goldcrestmoor/request/app_routes.py
@@ -1,4 +1,4 @@
-"""The routes of applications, and of the keys that their callers use."""
+"""HTTP routes of applications and of idempotency keys."""
 
 import msgspec
 from blacksheep import Content, Request, Response, StreamedContent
@@ -6,27 +6,27 @@
 from goldcrestmoor import logs
 from goldcrestmoor.errors import ErrorKind, ServiceError
 from goldcrestmoor.request.apps import AppRequest, forwarded_headers
-from goldcrestmoor.request.authentication import check_pool, check_served
+from goldcrestmoor.request.authentication import check_access, check_pool
 from goldcrestmoor.request.request_parsing import read_deadline
 from goldcrestmoor.version.configuration.document import UpstreamKind
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS")
 KEY_HEADER = b"Idempotency-Key"
-PREFIX = b"/apps/"
+PATH_PREFIX = b"/apps/"
 
 
 class NewKey(msgspec.Struct):
-    """A key that was just minted.
+    """The response to ``POST /v1/keys``.
 
-    :param key: the key.
-    :param lifetime_ms: how long it may be used, in milliseconds.
+    :param key: the minted key.
+    :param lifetime_ms: how long the key may be used, in milliseconds.
     """
 
     key: str
     lifetime_ms: int
 
 
-async def _nothing():
+async def _empty_body():
     yield b""
 
 
@@ -40,7 +40,7 @@
     :param authenticator: the ``Authenticator``.
     :param applications: the :class:`~goldcrestmoor.request.apps.ApplicationClient`.
     :param keys: the :class:`~goldcrestmoor.request.idempotency_keys.IdempotencyKeys`.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     :param settings: the :class:`~goldcrestmoor.settings.Settings`.
@@ -48,26 +48,28 @@
 
     async def forward(request: Request) -> Response:
         authenticator.account(request.headers)
-        asked = await _read(request)
-        # The body may have taken long to come, so the account is looked up again.
+        app_request = await _read(request)
+        # The account is looked up again, because reading the body may take long.
         account = authenticator.account(request.headers)
         configuration = lease.view().configuration
-        check_pool(account, configuration, asked.pool, UpstreamKind.APPLICATION)
+        check_pool(account, configuration, app_request.pool, UpstreamKind.APPLICATION)
         deadline = read_deadline(request, clock, settings.limits.request_timeout_ms)
         request_id = logs.request_id.get()
         key = request.get_first_header(KEY_HEADER)
 
         def check():
-            check_served(lease.view(), account, asked.pool)
+            check_access(lease.view(), account, app_request.pool)
 
         try:
-            if key is None or asked.idempotent:
-                answer = await applications.fetch(asked, deadline, request_id, check)
+            if key is None or app_request.idempotent:
+                answer = await applications.fetch(
+                    app_request, deadline, request_id, check
+                )
             else:
                 answer = await keys.run(
                     account.name,
                     key.decode("latin-1"),
-                    asked,
+                    app_request,
                     deadline,
                     request_id,
                     check,
@@ -76,7 +78,7 @@
             metrics.requests.labels(account.name, e.code).inc()
             raise
         metrics.requests.labels(account.name, "answered").inc()
-        return to_response(answer, asked.method)
+        return to_response(answer, app_request.method)
 
     async def mint(request: Request) -> Response:
         account = authenticator.account(request.headers)
@@ -90,11 +92,11 @@
 
 
 async def _read(request):
-    # The target is taken as it came: decoding and encoding it could change it.
+    # The raw target is used: decoding and encoding it again could change it.
     raw = request.scope.get("raw_path") or request.scope["path"].encode()
-    if not raw.startswith(PREFIX):
+    if not raw.startswith(PATH_PREFIX):
         raise ServiceError(ErrorKind.BAD_REQUEST, "The path is malformed.")
-    pool, _, path = raw[len(PREFIX) :].partition(b"/")
+    pool, _, path = raw[len(PATH_PREFIX) :].partition(b"/")
     query = request.scope.get("query_string", b"")
     target = b"/" + path + (b"?" + query if query else b"")
     return AppRequest(
@@ -107,10 +109,10 @@
 
 
 def to_response(answer, method):
-    """Return the answer to a caller that an upstream's whole answer gives.
+    """Convert an upstream's complete response to the response to the caller.
 
     :param answer: an :class:`~goldcrestmoor.request.apps.AppResponse`.
-    :param method: the request's method.
+    :param method: the method of the request.
     """
     content_type = None
     length = None
@@ -123,8 +125,8 @@
         else:
             headers.append((name, value))
     if method == "HEAD" and length is not None:
-        # There is no body, but the length that the body would have.
-        content = StreamedContent(content_type, _nothing, length)
+        # The response has no body, but states the length that the body would have.
+        content = StreamedContent(content_type, _empty_body, length)
         return Response(answer.status, headers, content)
     if not answer.body:
         if content_type is not None:
--- a/goldcrestmoor/request/claim_sweeper.py
+++ b/goldcrestmoor/request/claim_sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes claim rows that are too old to matter."""
+"""Deletes claim rows whose retention time has passed."""
 
 import logging
 
@@ -11,21 +11,21 @@
 
 log = logging.getLogger("goldcrestmoor.keys")
 
-SWEEP_MS = 600_000
+CLEANUP_INTERVAL_MS = 600_000
 RETENTION_MS = 24 * 3_600_000
 ROWS_PER_TRANSACTION = 50
 
 
 class ClaimSweeper:
-    """Delete old claims, on the one live host that a hash of the fleet picks.
+    """Delete old claims, on one live host chosen by rendezvous hashing.
 
-    Two hosts that both think so do no harm: each deletes rows by their version.
+    Two hosts that are both chosen do no harm: rows are deleted by version.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_id: this host.
     :param table: the ``TableClient``.
     :param membership: the ``Membership``.
-    :param lease: gives the
+    :param lease: provides the
         :class:`~goldcrestmoor.version.configuration.document.ConfigurationView`.
     """
 
@@ -39,29 +39,29 @@
         self._lease = lease
 
     async def run(self):
-        """Sweep from time to time, until cancelled."""
+        """Delete old claims periodically, until cancelled."""
         while True:
-            await self._clock.sleep_ms(SWEEP_MS)
+            await self._clock.sleep_ms(CLEANUP_INTERVAL_MS)
             hosts = [record.id for record in self._membership.live()]
             if not hosts or util.rendezvous(TABLE, hosts) != self._host_id:
                 continue
             try:
                 await self.sweep()
             except ServiceError as e:
-                log.info("Old claims were left for the next round: %s", e)
+                log.info("Old claims not deleted, retrying in the next cleanup: %s", e)
 
     async def sweep(self):
-        """Delete every claim that is older than its retention.
+        """Delete every claim that is older than the retention time.
 
         :return: how many rows were deleted.
-        :raises ServiceError: when the table service is out of reach.
+        :raises ServiceError: when the table service is unreachable.
         """
         deleted = 0
         for account in self._lease.view().configuration.accounts_by_name:
             rows = await self._table.scan(TABLE, f"{account}/")
-            old = [row for row in rows if self._is_old(row)]
-            for start in range(0, len(old), ROWS_PER_TRANSACTION):
-                batch = old[start : start + ROWS_PER_TRANSACTION]
+            expired = [row for row in rows if self._is_expired(row)]
+            for start in range(0, len(expired), ROWS_PER_TRANSACTION):
+                batch = expired[start : start + ROWS_PER_TRANSACTION]
                 deleted += await self._delete(batch)
         return deleted
 
@@ -71,7 +71,7 @@
         result = await self._table.transact(checks, writes)
         return 0 if isinstance(result, CheckFailed) else len(rows)
 
-    def _is_old(self, row):
+    def _is_expired(self, row):
         try:
             claim = msgspec.json.decode(row.value, type=Claim)
         except msgspec.MsgspecError:
--- a/goldcrestmoor/request/forwarding.py
+++ b/goldcrestmoor/request/forwarding.py
@@ -1,4 +1,4 @@
-"""Forward one request to upstreams of its route, and give its whole answer."""
+"""Forwarding of a request to the upstreams of its route, with a complete response."""
 
 import logging
 
@@ -14,17 +14,17 @@
 log = logging.getLogger("goldcrestmoor.forward")
 
 SERVER_ERROR = 500
-# Several round trips between zones; a server that is cut off takes no longer to pass.
+# Several round trips between zones; also bounds the time lost on a partitioned server.
 CONNECT_TIMEOUT_MS = 150
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """A caller's request, read whole.
+    """A caller's complete request.
 
-    :param id: the caller's id of it.
+    :param id: the request's id, given by the caller.
     :param method: the HTTP method.
-    :param target: the path and query, as they came.
-    :param headers: ``(name, value)`` byte pairs that are passed on.
+    :param target: the path and query, as received.
+    :param headers: ``(name, value)`` byte pairs to forward.
     :param body: the body.
     """
 
@@ -35,23 +35,23 @@
     body: bytes
 
 
-class TryEnd(msgspec.Struct, frozen=True):
-    """How a try ended that gave no answer to pass on.
+class FailedAttempt(msgspec.Struct, frozen=True):
+    """The outcome of an attempt that gave no response to forward.
 
     :param ran: whether the upstream ran the request.
-    :param reason: why, as a sentence.
+    :param reason: the reason, as a sentence.
     """
 
     ran: Ran
     reason: str
 
 
-class Tries:
-    """The upstreams that one request has been sent to, and what is known of it.
+class RequestAttempts:
+    """The attempts of one request: the upstreams it was sent to, and its run state.
 
     :param request: the :class:`CallerRequest`.
     :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-    :param deadline: when the answer must be there.
+    :param deadline: the time by which the response must be complete.
     :param loads: the :class:`~goldcrestmoor.request.upstream_loads.UpstreamLoads`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
@@ -64,9 +64,9 @@
         "_metrics",
         "_service",
         "_sent_to",
-        "_runs",
+        "_possible_runs",
         "_ran",
-        "_allowed_ms",
+        "_total_ms",
     )
 
     def __init__(self, *, request, route, deadline, loads, metrics):
@@ -77,50 +77,50 @@
         self._metrics = metrics
         self._service = route.service_for(request.id)
         self._sent_to = []
-        self._runs = 0
+        self._possible_runs = 0
         self._ran = Ran.NOT_RUN
-        self._allowed_ms = deadline.remaining_ms()
+        self._total_ms = deadline.remaining_ms()
 
     def next_upstream(self):
-        """Return the upstream to try next.
+        """Return the upstream for the next attempt.
 
-        :raises ServiceError: ``NO_UPSTREAM`` when the service has none to try.
+        :raises ServiceError: ``NO_UPSTREAM`` when the service has no upstream left.
         """
         upstream = self._loads.choose(self._service, self._sent_to)
         if upstream is None:
-            text = f"No server of {self._service} is there."
+            text = f"No server of {self._service} is available."
             after_ms = retry_decision.RETRY_AFTER_NONE_MS
             raise ServiceError(ErrorKind.NO_UPSTREAM, text, after_ms)
         self._sent_to.append(upstream.name)
         return upstream
 
-    def bound_ms(self):
-        """Return how long the current try may wait, in milliseconds."""
+    def timeout_ms(self):
+        """Return the timeout of the current attempt, in milliseconds."""
         return retry_decision.attempt_timeout_ms(
             self.route.retry_policy,
-            self._runs,
+            self._possible_runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
             self.route.target_ms,
-            self._has_other(),
+            self._has_alternative(),
         )
 
-    def settle(self, end):
-        """Decide what follows a try without an answer; return to send it again.
+    def retry_or_raise(self, failure):
+        """Decide what follows a failed attempt; return when the request is retried.
 
-        :param end: the :class:`TryEnd`.
-        :raises ServiceError: when the request is given up.
+        :param failure: the :class:`FailedAttempt`.
+        :raises ServiceError: when the request is not retried.
         """
-        if end.ran is not Ran.NOT_RUN:
+        if failure.ran is not Ran.NOT_RUN:
             self._ran = Ran.UNKNOWN
-            self._runs += 1
+            self._possible_runs += 1
         decision = retry_decision.decide_retry(
             self._ran,
             self.route.retry_policy,
-            self._runs,
+            self._possible_runs,
             self.route.attempts,
             self.deadline.remaining_ms(),
-            self._has_other(),
+            self._has_alternative(),
         )
         log.info(
             "Request %s on route %s at %s, %d of %d ms left: %s; %s.",
@@ -128,34 +128,34 @@
             self.route.name,
             self._sent_to[-1],
             self.deadline.remaining_ms(),
-            self._allowed_ms,
-            end.reason,
+            self._total_ms,
+            failure.reason,
             type(decision).__name__,
         )
         match decision:
             case SendAgain():
-                self._metrics.retries.labels(end.ran.value).inc()
+                self._metrics.retries.labels(failure.ran.value).inc()
             case GiveUp(kind, retry_after_ms):
-                raise ServiceError(kind, end.reason, retry_after_ms)
+                raise ServiceError(kind, failure.reason, retry_after_ms)
 
-    def note_error(self, upstream, error):
-        """Take in that a try of an upstream brought no answer.
+    def record_error(self, upstream, error):
+        """Record that an attempt got no response.
 
         :param upstream: the upstream.
         :param error: the :class:`~goldcrestmoor.errors.ServiceError`.
         """
         if error.kind is ErrorKind.UPSTREAM_TIMEOUT:
-            self._loads.note_timeout(upstream, self.route.name)
+            self._loads.record_timeout(upstream, self.route.name)
         else:
-            self._loads.note_failure(upstream)
+            self._loads.record_failure(upstream)
 
-    def note_answer(self, status):
-        """Log the answer that is passed on.
+    def record_response(self, status):
+        """Log the response that is forwarded.
 
         :param status: its HTTP status.
         """
         log.info(
-            "Request %s on route %s answered %d by %s, upstream %d of it, %d ms left.",
+            "Request %s on route %s answered %d by %s, upstream %d tried, %d ms left.",
             self.request.id,
             self.route.name,
             status,
@@ -164,16 +164,16 @@
             self.deadline.remaining_ms(),
         )
 
-    def _has_other(self):
+    def _has_alternative(self):
         return self._loads.choose(self._service, self._sent_to) is not None
 
 
 class Sender:
-    """What the ways to send a request to upstreams have in common.
+    """Base class of the forwarders.
 
     :param http: the ``HttpClient``.
     :param loads: the :class:`~goldcrestmoor.request.upstream_loads.UpstreamLoads`.
-    :param dialect: how the upstreams are spoken to.
+    :param dialect: the header conventions of the upstreams.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
     """
 
@@ -185,9 +185,9 @@
         self._dialect = dialect
         self._metrics = metrics
 
-    def _tries(self, request, route, deadline):
-        """Return the record of a request that has not been sent yet."""
-        return Tries(
+    def _new_attempts(self, request, route, deadline):
+        """Return the attempts of a request that has not been sent yet."""
+        return RequestAttempts(
             request=request,
             route=route,
             deadline=deadline,
@@ -197,39 +197,40 @@
 
 
 class Forwarder(Sender):
-    """Send requests to upstreams, straight from this host."""
+    """Forward requests directly from this host to upstreams."""
 
     __slots__ = ()
 
     async def forward(self, request, route, deadline):
-        """Return an upstream's whole answer.
+        """Return an upstream's complete response.
 
         :param request: the :class:`CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-        :param deadline: when the answer must be there.
+        :param deadline: the time by which the response must be complete.
         :return: an :class:`~goldcrestmoor.request.apps.AppResponse`.
-        :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when it surely was
-            not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may have.
+        :raises ServiceError: ``NO_UPSTREAM`` or ``OVERLOADED`` when the request was
+            certainly not run, ``UPSTREAM_FAILED`` or ``UPSTREAM_TIMEOUT`` when it may
+            have been.
         """
-        tries = self._tries(request, route, deadline)
+        attempts = self._new_attempts(request, route, deadline)
         while True:
-            upstream = tries.next_upstream()
-            outcome = await self._try(upstream, tries)
+            upstream = attempts.next_upstream()
+            outcome = await self._attempt(upstream, attempts)
             match outcome:
                 case AppResponse():
-                    tries.note_answer(outcome.status)
+                    attempts.record_response(outcome.status)
                     return outcome
-                case TryEnd():
-                    tries.settle(outcome)
+                case FailedAttempt():
+                    attempts.retry_or_raise(outcome)
 
-    async def _try(self, upstream, tries):
-        request, route = tries.request, tries.route
+    async def _attempt(self, upstream, attempts):
+        request, route = attempts.request, attempts.route
         headers = self._dialect.request_headers(
-            request.headers, upstream, tries.deadline.remaining_ms()
+            request.headers, upstream, attempts.deadline.remaining_ms()
         )
         try:
             with (
-                self._loads.counted(upstream),
+                self._loads.track_request(upstream),
                 tracing.span("forward", upstream=upstream.name),
             ):
                 response = await self._http.request(
@@ -239,27 +240,27 @@
                     request.target,
                     headers,
                     request.body,
-                    max(1, tries.bound_ms()),
+                    max(1, attempts.timeout_ms()),
                     idempotent=route.retry_policy is not RetryPolicy.NEVER,
                     connect_timeout_ms=CONNECT_TIMEOUT_MS,
                     allow_close_delimited=True,
                 )
         except ServiceError as e:
-            tries.note_error(upstream, e)
-            return TryEnd(e.answer.ran, e.message)
-        return self._judge(upstream, tries, response)
+            attempts.record_error(upstream, e)
+            return FailedAttempt(e.answer.ran, e.message)
+        return self._classify(upstream, attempts, response)
 
-    def _judge(self, upstream, tries, response):
+    def _classify(self, upstream, attempts, response):
         status, headers = response.status, response.headers
         if self._dialect.ran(status, headers) is Ran.NOT_RUN:
-            return TryEnd(Ran.NOT_RUN, f"Not run, answered {status}")
-        if not self._dialect.is_genuine(tries.request.id, status, headers):
-            self._loads.note_failure(upstream)
-            return TryEnd(Ran.UNKNOWN, "The answer is spoilt or another's")
-        self._loads.note_answer(upstream, tries.route.name)
+            return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
+        if not self._dialect.is_genuine(attempts.request.id, status, headers):
+            self._loads.record_failure(upstream)
+            return FailedAttempt(Ran.UNKNOWN, "The response is spoilt or another's")
+        self._loads.record_response(upstream, attempts.route.name)
         if (
             status == SERVER_ERROR
-            and tries.route.retry_policy is RetryPolicy.IDEMPOTENT
+            and attempts.route.retry_policy is RetryPolicy.IDEMPOTENT
         ):
-            return TryEnd(Ran.RAN, "The server failed")
+            return FailedAttempt(Ran.RAN, "The server failed")
         return AppResponse(status, tuple(headers), response.body)
--- a/goldcrestmoor/request/queue_entry.py
+++ b/goldcrestmoor/request/queue_entry.py
@@ -1,16 +1,16 @@
-"""A request that waits for a slot, or uses one."""
+"""A request that is queued for a slot, or uses one."""
 
 
 class Entry:
     """One queued request.
 
-    :param id: the grant that it waits for.
+    :param id: the id of the grant.
     :param account: the account's name.
     :param kind: the account's kind.
     :param share: the account's weight.
-    :param cost_tokens: what it is expected to cost, in tokens.
-    :param deadline: when it must have started.
-    :param queued_ms: when it was queued, on the clock's scale.
+    :param cost_tokens: what the request is expected to cost, in tokens.
+    :param deadline: the time by which the request must have started.
+    :param queued_ms: when the request was queued, on the clock's scale.
     """
 
     __slots__ = (
@@ -22,7 +22,7 @@
         "deadline",
         "queued_ms",
         "number",
-        "pending",
+        "pending_cost",
         "started_ms",
     )
 
@@ -35,5 +35,5 @@
         self.deadline = deadline
         self.queued_ms = queued_ms
         self.number = 0
-        self.pending = 0.0
+        self.pending_cost = 0.0
         self.started_ms = None
--- a/goldcrestmoor/request/streaming.py
+++ b/goldcrestmoor/request/streaming.py
@@ -1,8 +1,8 @@
-"""Forward a stream of events as they come, and carry it on where that is allowed.
+"""Forwarding of event streams, which are resumed on failure where the route allows it.
 
-The load this answers: engines crash, hang and change weights while long streams are
-open. A stream that may be resumed goes on at another engine behind the last whole
-event that its caller has; any other is broken off, so that it never looks complete.
+Workload: engines crash, hang and change weights while long streams are open. A stream
+that may be resumed continues on another engine after the last complete event that was
+sent to the caller; any other stream is aborted, so that it never looks complete.
 """
 
 import contextlib
@@ -13,23 +13,23 @@
 from goldcrestmoor.errors import ErrorKind, Ran, ServiceError
 from goldcrestmoor.request.apps import AppResponse
 from goldcrestmoor.request.event_stream import EventParser
-from goldcrestmoor.request.forwarding import Sender, TryEnd
+from goldcrestmoor.request.forwarding import FailedAttempt, Sender
 from goldcrestmoor.version.configuration.routes import RetryPolicy
 
 log = logging.getLogger("goldcrestmoor.streams")
 
 STATUS_OK = 200
 EVENT_STREAM = b"text/event-stream"
-# Callers leave a stream after a gap of two seconds, or longer by their route's terms.
-SILENCE_MS = 2000
+# Callers abandon a stream after a gap of two seconds, or more if their route allows it.
+MIN_IDLE_TIMEOUT_MS = 2000
 
 
 class StreamResponse(msgspec.Struct, frozen=True):
-    """An answer that comes in events.
+    """A response that is a stream of events.
 
-    :param headers: ``(name, value)`` byte pairs of the first upstream's answer.
-    :param events: an async iterator of the events' bytes. It raises when the stream
-        is broken for good, and must be closed.
+    :param headers: ``(name, value)`` byte pairs of the first upstream's response.
+    :param events: an async iterator of the events' bytes, which must be closed. It
+        raises when the stream fails and is not resumed.
     """
 
     headers: tuple[tuple[bytes, bytes], ...]
@@ -37,92 +37,98 @@
 
 
 class StreamForwarder(Sender):
-    """Send requests whose answers are streams."""
+    """Forward requests whose responses are streams."""
 
     __slots__ = ()
 
     async def forward(self, request, route, deadline):
-        """Return an answer once its first event is there, or a whole one.
+        """Return a response once its first event is received, or a complete one.
 
         :param request: the :class:`~goldcrestmoor.request.forwarding.CallerRequest`.
         :param route: its :class:`~goldcrestmoor.version.configuration.routes.Route`.
-        :param deadline: when the stream must have ended.
+        :param deadline: the time by which the stream must have ended.
         :return: a :class:`StreamResponse`, or an
-            :class:`~goldcrestmoor.request.apps.AppResponse` when it is no stream.
+            :class:`~goldcrestmoor.request.apps.AppResponse` when it is not a stream.
         :raises ServiceError: as ``Forwarder.forward``.
         """
-        tries = self._tries(request, route, deadline)
-        parts = self._run(tries)
+        attempts = self._new_attempts(request, route, deadline)
+        items = self._run(attempts)
         try:
-            head = await anext(parts)
+            head = await anext(items)
             match head:
                 case AppResponse():
-                    await parts.aclose()
+                    await items.aclose()
                     return head
                 case _:
-                    first = await anext(parts, None)
+                    first = await anext(items, None)
         except BaseException:
-            await parts.aclose()
+            await items.aclose()
             raise
-        return StreamResponse(head, _joined(first, parts))
+        return StreamResponse(head, _prepend(first, items))
 
-    async def _run(self, tries):
+    async def _run(self, attempts):
         """Yield the first upstream's headers, then each event's bytes.
 
-        An answer that is no stream is yielded whole, in place of the headers.
+        A response that is not a stream is yielded complete, in place of the headers.
         """
         last_id, has_head, has_events = "", False, False
         while True:
-            upstream = tries.next_upstream()
-            reader = EventParser(self._dialect.EVENT_FIELDS)
+            upstream = attempts.next_upstream()
+            parser = EventParser(self._dialect.EVENT_FIELDS)
             try:
-                async with self._opened(upstream, tries, last_id) as response:
-                    end = await self._check(upstream, tries, response, has_head)
-                    if isinstance(end, AppResponse):
-                        yield end
+                async with self._open_stream(upstream, attempts, last_id) as response:
+                    outcome = await self._check_response(
+                        upstream, attempts, response, has_head
+                    )
+                    if isinstance(outcome, AppResponse):
+                        yield outcome
                         return
-                    if end is None:
-                        tries.note_answer(response.status)
+                    if outcome is None:
+                        attempts.record_response(response.status)
                         if not has_head:
                             has_head = True
                             yield tuple(response.headers)
                         async for chunk in response.body():
-                            for event in reader.feed(chunk):
+                            for event in parser.feed(chunk):
                                 last_id = event.id or last_id
                                 has_events = True
                                 yield event.raw
-                        if not reader.has_partial_event:
-                            self._loads.note_answer(upstream, tries.route.name)
+                        if not parser.has_partial_event:
+                            self._loads.record_response(upstream, attempts.route.name)
                             return
-                        end = TryEnd(Ran.UNKNOWN, "The stream ended within an event")
-                if end.ran is not Ran.NOT_RUN:
-                    self._loads.note_failure(upstream)
+                        outcome = FailedAttempt(
+                            Ran.UNKNOWN, "The stream ended within an event"
+                        )
+                if outcome.ran is not Ran.NOT_RUN:
+                    self._loads.record_failure(upstream)
             except ServiceError as e:
-                self._note_error(upstream, tries, e)
-                end = TryEnd(e.answer.ran, e.message)
-            may_resume = last_id and tries.route.retry_policy is RetryPolicy.RESUMABLE
+                self._record_error(upstream, attempts, e)
+                outcome = FailedAttempt(e.answer.ran, e.message)
+            may_resume = (
+                last_id and attempts.route.retry_policy is RetryPolicy.RESUMABLE
+            )
             if has_events and not may_resume:
-                raise ServiceError(ErrorKind.UPSTREAM_FAILED, end.reason)
-            tries.settle(end)
-
-    def _note_error(self, upstream, tries, error):
-        # Silence within the stream is its engine's; a stream that is longer than its
-        # caller waits says nothing of the engine.
-        if error.kind is ErrorKind.UPSTREAM_TIMEOUT and tries.deadline.passed():
-            self._loads.note_timeout(upstream, tries.route.name)
+                raise ServiceError(ErrorKind.UPSTREAM_FAILED, outcome.reason)
+            attempts.retry_or_raise(outcome)
+
+    def _record_error(self, upstream, attempts, error):
+        # An idle timeout within the stream is the engine's fault; a stream that is
+        # longer than its caller's deadline is not.
+        if error.kind is ErrorKind.UPSTREAM_TIMEOUT and attempts.deadline.passed():
+            self._loads.record_timeout(upstream, attempts.route.name)
         else:
-            self._loads.note_failure(upstream)
+            self._loads.record_failure(upstream)
 
     @contextlib.asynccontextmanager
-    async def _opened(self, upstream, tries, last_id):
-        request = tries.request
+    async def _open_stream(self, upstream, attempts, last_id):
+        request = attempts.request
         headers = self._dialect.request_headers(
-            request.headers, upstream, tries.deadline.remaining_ms()
+            request.headers, upstream, attempts.deadline.remaining_ms()
         )
         if last_id:
             resume = self._dialect.resume_header(last_id)
             headers = [pair for pair in headers if pair[0] != resume[0]] + [resume]
-        with self._loads.counted(upstream):
+        with self._loads.track_request(upstream):
             async with self._http.stream(
                 upstream.address,
                 upstream.port,
@@ -130,33 +136,37 @@
                 request.target,
                 headers,
                 request.body,
-                max(1, tries.deadline.remaining_ms()),
-                idempotent=tries.route.retry_policy is not RetryPolicy.NEVER,
-                progress_timeout_ms=max(SILENCE_MS, 4 * tries.route.target_ms),
+                max(1, attempts.deadline.remaining_ms()),
+                idempotent=attempts.route.retry_policy is not RetryPolicy.NEVER,
+                progress_timeout_ms=max(
+                    MIN_IDLE_TIMEOUT_MS, 4 * attempts.route.target_ms
+                ),
                 allow_close_delimited=True,
             ) as response:
                 yield response
 
-    async def _check(self, upstream, tries, response, has_head):
-        """Return None for a stream to pass on, else how the try ended."""
+    async def _check_response(self, upstream, attempts, response, has_head):
+        """Return None for a stream to forward, else the outcome of the attempt."""
         status, headers = response.status, response.headers
         if self._dialect.ran(status, headers) is Ran.NOT_RUN:
             async for _ in response.body():
                 pass
-            return TryEnd(Ran.NOT_RUN, f"Not run, answered {status}")
-        if not self._dialect.is_genuine(tries.request.id, status, headers):
-            return TryEnd(Ran.UNKNOWN, "The answer is spoilt or another's")
+            return FailedAttempt(Ran.NOT_RUN, f"Not run, answered {status}")
+        if not self._dialect.is_genuine(attempts.request.id, status, headers):
+            return FailedAttempt(Ran.UNKNOWN, "The response is spoilt or another's")
         if dict(headers).get(b"content-type", b"").startswith(EVENT_STREAM):
             return None
         if has_head:
-            return TryEnd(Ran.RAN, f"{upstream.name} did not resume it: {status}")
+            return FailedAttempt(
+                Ran.RAN, f"{upstream.name} did not resume the stream: {status}"
+            )
         chunks = [chunk async for chunk in response.body()]
         return AppResponse(status, tuple(headers), b"".join(chunks))
 
 
-async def _joined(first, parts):
-    async with contextlib.aclosing(parts):
+async def _prepend(first, items):
+    async with contextlib.aclosing(items):
         if first is not None:
             yield first
-        async for part in parts:
-            yield part
+        async for item in items:
+            yield item
--- a/goldcrestmoor/request/upstream_loads.py
+++ b/goldcrestmoor/request/upstream_loads.py
@@ -1,20 +1,20 @@
-"""What this host has in flight at each upstream, and which have just failed."""
+"""Requests in flight and recent failures of each upstream, as seen by this host."""
 
 import contextlib
 
 from goldcrestmoor.request.upstream_choice import Candidate, choose_upstream
 
-# An upstream that failed is left alone for so long while there is another, twice as
-# long after each further failure: a server that is cut off is listed for seconds yet.
-FAILED_PAUSE_MS = 1000
-# A dead server is off the list by then.
-FAILED_PAUSE_MAX_MS = 8000
-# Further failures in a row do not lengthen the pause.
-MAX_FAILURES = 8
+# An upstream that failed is avoided for this time while there is another, and for twice
+# as long after each further failure: a partitioned server stays listed for seconds.
+FAILURE_COOLDOWN_MS = 1000
+# A dead server has been removed from the list by then.
+FAILURE_COOLDOWN_MAX_MS = 8000
+# Further consecutive failures do not lengthen the cool-down.
+MAX_FAILURE_COUNT = 8
 
 
 class _Failure:
-    """How often in a row an upstream has failed, and until when it is left alone."""
+    """The consecutive failures of an upstream, and the end of its cool-down."""
 
     __slots__ = ("count", "until_ms")
 
@@ -24,10 +24,10 @@
 
 
 class UpstreamLoads:
-    """Choose upstreams for requests, and count what is at each.
+    """Choose upstreams for requests, and count the requests in flight on each.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param http: the ``HttpClient``, which knows the open connections.
+    :param http: the ``HttpClient``, which has the open connections.
     :param directory: the :class:`~goldcrestmoor.process.directory.UpstreamDirectory`.
     :param zone: this host's availability zone.
     """
@@ -55,14 +55,14 @@
         """Return the upstream that a request goes to, or None.
 
         :param service: the service's name.
-        :param sent_to: the names of the upstreams that it was sent to already.
+        :param sent_to: the names of the upstreams that the request was sent to.
         """
         now_ms = self._clock.now_ms()
         upstream_by_name = {u.name: u for u in self._directory.usable(service)}
-        choices = (self._view(u, now_ms) for u in upstream_by_name.values())
+        choices = (self._candidate(u, now_ms) for u in upstream_by_name.values())
         return upstream_by_name.get(choose_upstream(choices, sent_to))
 
-    def _view(self, upstream, now_ms):
+    def _candidate(self, upstream, now_ms):
         failure = self._failure_by_name.get(upstream.name)
         return Candidate(
             name=upstream.name,
@@ -74,7 +74,7 @@
         )
 
     @contextlib.contextmanager
-    def counted(self, upstream):
+    def track_request(self, upstream):
         """Count a request as in flight for as long as the block runs.
 
         :param upstream: the :class:`~goldcrestmoor.process.directory.ListedUpstream`.
@@ -88,8 +88,8 @@
             if not self._in_flight_by_name[name]:
                 del self._in_flight_by_name[name]
 
-    def note_answer(self, upstream, route):
-        """Note that an upstream has answered.
+    def record_response(self, upstream, route):
+        """Record that an upstream has responded.
 
         :param upstream: the upstream.
         :param route: the name of the request's route.
@@ -97,28 +97,29 @@
         self._failure_by_name.pop(upstream.name, None)
         self._answering_routes.add(route)
 
-    def note_timeout(self, upstream, route):
-        """Note that an upstream gave no answer within the time that a try had.
+    def record_timeout(self, upstream, route):
+        """Record that an attempt on an upstream timed out.
 
-        Some routes allow less time than their requests take. That they time out says
-        nothing of the upstream, which others are to be sent to on its connections.
+        Some routes allow less time than their requests take. A timeout on such a route
+        is no sign of a failed upstream, and must not divert other routes' requests from
+        its open connections. So it counts only on a route that has had a response.
 
         :param upstream: the upstream.
         :param route: the name of the request's route.
         """
         if route in self._answering_routes:
-            self.note_failure(upstream)
+            self.record_failure(upstream)
 
-    def note_failure(self, upstream):
-        """Note that an upstream gave no answer, or a spoilt one.
+    def record_failure(self, upstream):
+        """Record that an upstream gave no response, or a corrupted one.
 
         :param upstream: the upstream.
         """
         now_ms = self._clock.now_ms()
         failure = self._failure_by_name.setdefault(upstream.name, _Failure())
-        pause_ms = min(FAILED_PAUSE_MAX_MS, FAILED_PAUSE_MS << failure.count)
-        failure.count = min(failure.count + 1, MAX_FAILURES)
-        failure.until_ms = now_ms + pause_ms
+        cooldown_ms = min(FAILURE_COOLDOWN_MAX_MS, FAILURE_COOLDOWN_MS << failure.count)
+        failure.count = min(failure.count + 1, MAX_FAILURE_COUNT)
+        failure.until_ms = now_ms + cooldown_ms
         for name, known in list(self._failure_by_name.items()):
-            if now_ms - known.until_ms > FAILED_PAUSE_MAX_MS:
+            if now_ms - known.until_ms > FAILURE_COOLDOWN_MAX_MS:
                 del self._failure_by_name[name]
