--- a/test/test_directory.py
+++ b/test/test_directory.py
@@ -1,4 +1,4 @@
-"""The list of upstreams while the store that keeps it comes and goes."""
+"""The upstream directory while the store is intermittently unavailable."""
 
 import unittest
 
@@ -40,12 +40,12 @@
         self.answered_ms = self.clock.now_ms()
         self.directory.apply([Change(key, 1, value)])
 
-    def come_back(self):
-        """The store answers again after an outage."""
+    def recover_store(self):
+        """Let the store answer again after an outage."""
         self.answered_ms = self.clock.now_ms()
         self.directory.on_feed_recovered()
 
-    async def hear_for(self, duration_ms):
+    async def answer_for(self, duration_ms):
         """Let time pass while the store answers."""
         for _ in range(duration_ms // 100):
             await self.clock.advance(100)
@@ -58,37 +58,39 @@
         self.write("s1", None)
         self.assertEqual(self.names(), [])
 
-    async def test_an_entry_that_lapsed_with_the_store_gets_time_to_come_back(self):
-        self.come_back()
+    async def test_an_entry_that_expired_in_an_outage_gets_time_to_be_listed_again(
+        self,
+    ):
+        self.recover_store()
         self.write("s1", None)
-        await self.hear_for(RELIST_GRACE_MS - 100)
+        await self.answer_for(RELIST_GRACE_MS - 100)
         self.assertEqual(self.names(), ["s1"])
-        await self.hear_for(200)
+        await self.answer_for(200)
         self.assertEqual(self.names(), [])
 
-    async def test_an_entry_that_comes_back_stays(self):
-        self.come_back()
+    async def test_an_entry_that_is_listed_again_stays(self):
+        self.recover_store()
         self.write("s1", None)
-        await self.hear_for(500)
+        await self.answer_for(500)
         self.write("s1", b"ready")
-        await self.hear_for(2 * RELIST_GRACE_MS)
+        await self.answer_for(2 * RELIST_GRACE_MS)
         self.assertEqual(self.names(), ["s1"])
 
-    async def test_a_store_that_is_away_again_at_once_gives_no_time_to_come_back(self):
-        """It answers for 0.4 s between two outages of seven seconds."""
-        self.come_back()
+    async def test_a_second_outage_does_not_use_up_the_time_to_be_listed_again(self):
+        """The store answers for 0.4 s between two outages of seven seconds."""
+        self.recover_store()
         self.write("s1", None)
-        await self.hear_for(400)
+        await self.answer_for(400)
         await self.clock.advance(7000)
         self.assertEqual(self.names(), ["s1"])
-        self.come_back()
-        await self.hear_for(RELIST_GRACE_MS - 100)
+        self.recover_store()
+        await self.answer_for(RELIST_GRACE_MS - 100)
         self.assertEqual(self.names(), ["s1"])
-        await self.hear_for(200)
+        await self.answer_for(200)
         self.assertEqual(self.names(), [])
 
-    async def test_a_draining_entry_that_lapsed_is_gone_at_once(self):
+    async def test_a_draining_entry_that_expired_is_removed_at_once(self):
         self.write("s1", b"draining")
-        self.come_back()
+        self.recover_store()
         self.write("s1", None)
         self.assertNotIn("s1", self.directory.upstream_by_name)
--- a/test/test_duties.py
+++ b/test/test_duties.py
@@ -1,4 +1,4 @@
-"""A duty passes on when its holder is gone, not when the store was."""
+"""A duty moves when its holder is gone, not when the store was unavailable."""
 
 import unittest
 
@@ -38,11 +38,11 @@
         )
 
     async def feed(self, duties):
-        """Tell a host of the duty's row as it is."""
+        """Apply the duty's current row to a host."""
         row = await self.table.client(self.watcher).get(TABLE, DUTY)
         duties.apply([Change(DUTY, row.version, row.value)])
 
-    async def test_a_holder_that_ended_is_followed_by_another(self):
+    async def test_a_duty_that_its_holder_released_is_claimed_by_another(self):
         await self.feed(self.other)
         self.assertFalse(self.other.is_claimable(DUTY))
         await self.holder.release_all()
@@ -64,7 +64,7 @@
         await self.clock.advance(7000)
         self.assertFalse(self.other.is_claimable(DUTY))
         self.assertFalse(await self.other.claim(DUTY, DURATION_MS))
-        # The feed says that the store is back just before it tells what changed.
+        # The feed reports the recovery just before it delivers the changes.
         self.other.on_feed_recovered()
         self.table.is_down = False
         self.assertFalse(self.other.is_claimable(DUTY))
--- a/test/test_follower.py
+++ b/test/test_follower.py
@@ -1,4 +1,4 @@
-"""A feed that is slow is not a feed that is lost."""
+"""A slow change feed does not count as an outage."""
 
 import asyncio
 import random
@@ -11,12 +11,12 @@
 
 
 class SlowStore:
-    """A store whose answers take a while, and which can be away."""
+    """A store with delayed responses, which can be unavailable."""
 
     def __init__(self, clock):
         self.clock = clock
         self.delay_ms = 0
-        self.is_away = False
+        self.is_unavailable = False
         self.version = 1
 
     async def snapshot(self, table):
@@ -29,7 +29,7 @@
         return Changes([], self.version)
 
     async def _answer(self):
-        if self.is_away:
+        if self.is_unavailable:
             raise ServiceError(ErrorKind.PLATFORM_UNAVAILABLE)
         await self.clock.sleep_ms(self.delay_ms)
 
@@ -57,8 +57,8 @@
     def on_feed_recovered(self):
         self.returns += 1
 
-    async def test_a_slow_store_is_not_taken_for_one_that_was_away(self):
-        """Its answers take 0.8 s: a dead holder must still be followed by another."""
+    async def test_a_slow_store_does_not_count_as_unavailable(self):
+        """With responses that take 0.8 s a dead holder must still be replaced."""
         follower = await self.follow(outage_ms=2000)
         self.store.delay_ms = 800
         for _ in range(40):
@@ -70,7 +70,7 @@
         await self.see_an_outage_and_its_end()
 
     async def test_the_end_of_an_outage_is_noticed_after_the_longest_pause(self):
-        """The last try fails right before the store is back: seeds that were red."""
+        """With these seeds the last attempt fails just before the store recovers."""
         self.addCleanup(random.setstate, random.getstate())
         for seed in (10, 32, 100, 119):
             with self.subTest(seed=seed):
@@ -80,11 +80,11 @@
 
     async def see_an_outage_and_its_end(self):
         follower = await self.follow(outage_ms=2000)
-        self.store.is_away = True
+        self.store.is_unavailable = True
         await self.clock.advance(2600)
         self.assertFalse(follower.is_current())
-        self.store.is_away = False
-        # The longest pause between two tries, and no wait for a change.
+        self.store.is_unavailable = False
+        # The longest pause between two attempts, and no wait for a change.
         await self.clock.advance(RETRY_MAX_MS + 50)
         self.assertTrue(follower.is_current())
         self.assertEqual(self.returns, 1)
--- a/test/test_front_settings.py
+++ b/test/test_front_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the daemon on the users' platform, and the template for them."""
+"""Settings of the daemon on the users' platform, and their template."""
 
 import json
 import pathlib
@@ -13,7 +13,7 @@
 TEMPLATE = (
     pathlib.Path(front_settings.__file__).parent / "platform/settings.json.template"
 )
-# What the platform knows of a host, as far as the template asks.
+# The fields of a host that the template uses.
 FIELDS = {
     "node": "front-a-1",
     "zone": "a",
@@ -25,7 +25,7 @@
 
 
 def fill(template, fields):
-    """Fill the placeholders that a value as JSON stands for."""
+    """Replace each placeholder by its field as JSON."""
 
     def value(match):
         found = fields
--- a/test/test_http_server.py
+++ b/test/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server answers bad input clearly, and stops without cutting off."""
+"""The HTTP server rejects bad input, and stops without aborting requests."""
 
 import asyncio
 import contextlib
@@ -57,7 +57,7 @@
 
     @contextlib.contextmanager
     def track(self):
-        """Count requests as the shutdown does."""
+        """Count requests as ``InFlight`` does."""
         if not self.open:
             raise ServiceError(ErrorKind.DRAINING)
         self.tracked += 1
@@ -157,7 +157,7 @@
 
     async def test_a_request_that_stops_coming_is_refused(self):
         head = b"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
-        # A connection without a request is closed with no answer.
+        # A connection without a request is closed without a response.
         self.assertEqual(await self.ask_raw(b""), b"")
         for data in (b"GET / HT", head[:-1], head, head + b"{"):
             answer = await self.ask_raw(data)
@@ -165,17 +165,17 @@
 
     async def test_a_body_that_came_during_a_stall_is_read(self):
         head = b"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
-        patience_s = PROGRESS_TIMEOUT_MS / 1000
+        timeout_s = PROGRESS_TIMEOUT_MS / 1000
         loop = asyncio.get_running_loop()
-        loop.slow_callback_duration = 4 * patience_s
+        loop.slow_callback_duration = 4 * timeout_s
         with socket.create_connection(("127.0.0.1", self.port)) as caller:
             caller.sendall(head)
-            # A thread goes on while the loop stands still.
-            rest = threading.Timer(patience_s, caller.sendall, (b"123456789",))
+            # A thread keeps running while the event loop is blocked.
+            rest = threading.Timer(timeout_s, caller.sendall, (b"123456789",))
             rest.start()
             self.addCleanup(rest.join)
-            loop.call_later(patience_s / 2, time.sleep, 2 * patience_s)
-            await asyncio.sleep(3 * patience_s)
+            loop.call_later(timeout_s / 2, time.sleep, 2 * timeout_s)
+            await asyncio.sleep(3 * timeout_s)
             answer = await asyncio.to_thread(caller.recv, 65536)
         self.assertNotIn(b"stopped coming", answer)
         self.assertIn(b"HTTP/1.1 400 ", answer)
--- a/test/test_leases.py
+++ b/test/test_leases.py
@@ -1,4 +1,4 @@
-"""A lease has one holder, also across freezes, outages and lost answers."""
+"""A lease has one holder, also across frozen processes, outages and lost responses."""
 
 import asyncio
 import unittest
@@ -28,7 +28,7 @@
         return clock, client
 
     async def take(self, client):
-        """Try until the lease is taken."""
+        """Retry until the lease is acquired."""
         end_ms = self.clock.now_ms() + GENEROUS_MS
         while (lease := await client.acquire("duty", DURATION_MS)) is None:
             self.assertLess(self.clock.now_ms(), end_ms)
@@ -43,11 +43,11 @@
             self.assertTrue(lease.holds())
 
     async def test_a_holder_that_a_slow_store_holds_up_is_not_followed(self):
-        """Reads take a quarter of a second; a renewal waits behind others for more."""
+        """Reads take a quarter of a second; a queued renewal takes longer."""
         await self.take(self.a)
         _, waiting = self.make_client("host-c", latency_ms=lambda: 240)
         self.a_clock.thawed.clear()
-        # The last renewal before the freeze may have landed since the lease was taken.
+        # The last renewal before the freeze may be newer than the acquisition.
         self.assertIsNone(await waiting.acquire("duty", DURATION_MS))
         await self.clock.advance(DURATION_MS + 2 * TAKEOVER_MARGIN_MS)
         self.assertIsNone(await waiting.acquire("duty", DURATION_MS))
@@ -55,7 +55,7 @@
         self.assertIsNotNone(await waiting.acquire("duty", DURATION_MS))
 
     async def test_two_tries_at_once_take_it_once(self):
-        """Two jobs of one model are taken up at the same moment."""
+        """Two jobs of one model start at the same moment."""
         self.a_clock.thawed.clear()
         tries = [
             asyncio.create_task(self.a.acquire("duty", DURATION_MS)) for _ in range(2)
@@ -70,7 +70,7 @@
         old = await self.take(self.a)
         self.a_clock.thawed.clear()
         new = await self.take(self.b)
-        # Each holder's own clock says so at the moment of the new holding.
+        # The old lease has expired by its holder's clock when the new one is acquired.
         self.assertFalse(old.holds())
         self.assertGreater(new.fencing, old.fencing)
         self.a_clock.thawed.set()
--- a/test/test_listed_hosts.py
+++ b/test/test_listed_hosts.py
@@ -1,4 +1,4 @@
-"""A few hosts of a zone read the host list; all of the zone learn in time."""
+"""A few hosts of a zone read the host list; the whole zone is updated in time."""
 
 from goldcrestmoor.process.listed_hosts import READERS
 from goldcrestmoor.process.membership_messages import ListRead
@@ -44,7 +44,7 @@
         poll_ms = self.settings.membership.host_list_poll_ms
         await self.clock.advance(POLLS * poll_ms)
         self.assertEqual(len(self.reads_by_host), READERS * len(ZONES))
-        # Readings are rounded to checks, which come eight times a poll.
+        # Readings are rounded to checks, of which there are eight per poll.
         self.assertLess(max(self.reads_by_host.values()), POLLS * 1.2)
         await self.learn()
 
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -1,4 +1,4 @@
-"""Hosts learn which others are alive, under freezes, cuts and churn."""
+"""Hosts detect which others are alive, under freezes, partitions and churn."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 class FakeHostList:
-    """A host list that tests write, and that can be out of reach."""
+    """A host list that tests fill, and that can be unreachable."""
 
     def __init__(self):
         self.entries = []
@@ -217,7 +217,7 @@
         await self.start_fleet(4)
         self.kill("host-1")
         await self.wait_until(lambda: self.all_see(self.members_by_id))
-        # Its wall clock may be behind when it comes back.
+        # Its wall clock may be behind after the restart.
         member = self.add_host("host-1")
         own = member.table.own
         member.table.own = type(own)(
@@ -239,7 +239,7 @@
         self.host_list.cut_off.add("host-2")
         self.host_list.add("upstream", "engine-1", "leaving")
         cut_off = self.members_by_id["host-2"]
-        # Of the five seconds a read that is not refused takes some to fail.
+        # A read without an immediate error takes part of the five seconds to time out.
         await self.clock.advance(LEAVING_BOUND_MS - self.settings.platform.timeout_ms)
         self.assertIn("engine-1", cut_off.leaving_upstreams())
 
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A host leaves step by step, and says so to the balancer."""
+"""A host shuts down in steps, and reports its readiness to the load balancer."""
 
 import asyncio
 import unittest
@@ -48,7 +48,7 @@
         with self.in_flight.track():
             await self.clock.advance(self.settings.unready_ms // 2)
             self.assertFalse(self.shutdown.ready())
-            # The balancer has not noticed yet, so requests are still served.
+            # The load balancer has not noticed yet, so requests are still served.
             with self.in_flight.track():
                 self.assertEqual(self.steps, [])
             await self.clock.advance(self.settings.unready_ms)
--- a/test/test_store_connectivity.py
+++ b/test/test_store_connectivity.py
@@ -1,4 +1,4 @@
-"""A host that alone cannot reach the store finds a way round, and passes calls on."""
+"""A host without a connection to the store uses a relay; others relay its calls."""
 
 import asyncio
 import unittest
@@ -20,34 +20,34 @@
 
 
 class FakeStore:
-    """The store's client as its reach sees it."""
+    """The part of the store client that ``StoreConnectivity`` uses."""
 
     def __init__(self):
-        self.ways = []
+        self.relays = []
         self.is_relayed = False
-        self.is_reached = False
-        self.refused_ms = None
+        self.is_reachable = False
+        self.rejected_ms = None
         self.answered = asyncio.Event()
 
     async def transact(self, checks, writes):
         return None
 
     def rejection_age_ms(self):
-        return self.refused_ms
+        return self.rejected_ms
 
     def use_relay(self, address, port, prefix):
-        self.ways.append(address)
+        self.relays.append(address)
         self.is_relayed = True
 
     async def probe_direct(self):
-        self.is_relayed = not self.is_reached
+        self.is_relayed = not self.is_reachable
 
     async def relay(self, *call):
         await self.answered.wait()
         return call
 
 
-class StoreReachTest(unittest.IsolatedAsyncioTestCase):
+class StoreConnectivityTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.clock = ManualClock()
         self.store = FakeStore()
@@ -76,33 +76,33 @@
         self.addCleanup(task.cancel)
         await self.clock.advance(2 * CHECK_INTERVAL_MS)
 
-    async def test_it_goes_by_a_host_of_its_zone_and_keeps_to_it_for_a_while(self):
+    async def test_a_relay_of_the_own_zone_is_chosen_and_kept_for_a_while(self):
         self.age_ms = 1500
         await self.watch()
         await self.clock.advance(RELAY_RETRY_MS - 4 * CHECK_INTERVAL_MS)
-        self.assertEqual(self.store.ways, ["10.1.0.2"])
-        # No feed has come by it: another try, which may be by another host.
+        self.assertEqual(self.store.relays, ["10.1.0.2"])
+        # No feed answered through the relay: a new attempt, possibly by another host.
         await self.clock.advance(RELAY_RETRY_MS)
-        self.assertEqual(len(self.store.ways), 2)
+        self.assertEqual(len(self.store.relays), 2)
 
-    async def test_it_goes_straight_as_soon_as_it_can(self):
+    async def test_the_direct_connection_is_used_again_once_it_works(self):
         self.age_ms = 1500
         await self.watch()
         self.age_ms = 100
         self.assertFalse(self.reach.reaches_store_directly())
-        self.store.is_reached = True
+        self.store.is_reachable = True
         await self.clock.advance(DIRECT_PROBE_MS + CHECK_INTERVAL_MS)
         self.assertTrue(self.reach.reaches_store_directly())
         self.assertTrue(self.reach.accepts_callers())
 
-    async def test_a_host_that_is_turned_away_stays(self):
-        self.age_ms, self.store.refused_ms = 1500, 200
+    async def test_a_host_that_the_store_rejects_uses_no_relay(self):
+        self.age_ms, self.store.rejected_ms = 1500, 200
         await self.watch()
         await self.clock.advance(RELAY_RETRY_MS)
-        self.assertEqual(self.store.ways, [])
+        self.assertEqual(self.store.relays, [])
         self.assertFalse(self.reach.accepts_callers())
 
-    async def test_calls_are_passed_on_up_to_a_bound_and_never_further(self):
+    async def test_calls_are_relayed_up_to_a_bound_and_over_one_hop_only(self):
         calls = [
             asyncio.create_task(self.reach.relay("GET", "/x", [], b""))
             for _ in range(MAX_RELAYED_CALLS)
@@ -112,7 +112,7 @@
         self.store.answered.set()
         await asyncio.gather(*calls)
         await self.reach.relay("GET", "/x", [], b"")
-        # Two hosts that go round would send each other in circles.
+        # Two hosts that relay through each other would loop.
         self.store.is_relayed = True
         await self.check_refused()
 
