--- a/goldcrestmoor/process/duties.py
+++ b/goldcrestmoor/process/duties.py
@@ -9,7 +9,7 @@
 
 
 class Duties:
-    """Tell which duties this host holds and which it may claim.
+    """Tracks which duties this host holds and which it may claim.
 
     :param leases: the :class:`~goldcrestmoor.process.leases.LeaseClient`.
     :param is_feed_current: returns whether the feed of the leases is current.
@@ -75,7 +75,7 @@
         return row is None or self._leases.can_acquire(name, row)
 
     def was_last_held_here(self, name):
-        """Return whether a process of this host was the last to take a duty.
+        """Return whether a process of this host was the last to claim a duty.
 
         :param name: the duty.
         """
--- a/goldcrestmoor/process/front.py
+++ b/goldcrestmoor/process/front.py
@@ -410,11 +410,11 @@
             for field in dataclasses.fields(new)
             if getattr(old, field.name) != getattr(new, field.name)
         ]
-        kept = [name for name in changed if name not in RELOADABLE_SECTIONS]
+        pending = [name for name in changed if name not in RELOADABLE_SECTIONS]
         log.info(
             "Settings reloaded; changed: %s; in effect after the next start: %s.",
             ", ".join(changed) or "nothing",
-            ", ".join(kept) or "nothing",
+            ", ".join(pending) or "nothing",
         )
 
     async def _leave(self):
--- a/goldcrestmoor/process/http_server.py
+++ b/goldcrestmoor/process/http_server.py
@@ -279,8 +279,8 @@
 
     async def receive(self):
         message = await self._receive()
-        is_whole = message["type"] == "http.request" and not message.get("more_body")
-        if self._cancels_all and is_whole:
+        is_complete = message["type"] == "http.request" and not message.get("more_body")
+        if self._cancels_all and is_complete:
             self._start()
         return message
 
--- a/goldcrestmoor/process/listed_hosts.py
+++ b/goldcrestmoor/process/listed_hosts.py
@@ -106,14 +106,14 @@
         :param names: all upstreams that are leaving.
         """
         now_ms = self._clock.now_ms()
-        named = self._leaving_ms_by_upstream
-        named.update(dict.fromkeys(names, now_ms))
+        leaving_ms = self._leaving_ms_by_upstream
+        leaving_ms.update(dict.fromkeys(names, now_ms))
         # A delayed reading must not reinstate an upstream that a newer reading lists
         # as leaving, so one reading without the upstream is not enough.
         oldest_ms = now_ms - RETAIN_POLLS * self._poll_ms
-        for name in [name for name, at_ms in named.items() if at_ms < oldest_ms]:
-            del named[name]
-        self._leaving = frozenset(named)
+        for name in [name for name, at_ms in leaving_ms.items() if at_ms < oldest_ms]:
+            del leaving_ms[name]
+        self._leaving = frozenset(leaving_ms)
         self._updated_ms = now_ms
 
     async def run(self):
--- a/goldcrestmoor/process/member_table.py
+++ b/goldcrestmoor/process/member_table.py
@@ -229,9 +229,9 @@
             log.info("Host %s is held down for %d ms.", member.record.id, hold_down_ms)
 
     def _refute(self, claim):
-        accused = claim.state in (HostState.SUSPECT, HostState.DEAD)
-        accused = accused and claim.incarnation >= self.own.incarnation
-        if accused or claim.incarnation > self.own.incarnation:
+        is_accused = claim.state in (HostState.SUSPECT, HostState.DEAD)
+        is_accused = is_accused and claim.incarnation >= self.own.incarnation
+        if is_accused or claim.incarnation > self.own.incarnation:
             self._raise_incarnation(claim.incarnation)
 
     def _raise_incarnation(self, above):
--- a/goldcrestmoor/process/membership.py
+++ b/goldcrestmoor/process/membership.py
@@ -73,7 +73,7 @@
         "_live_ids",
         "_list_rank",
         "_broadcast",
-        "_probes",
+        "_pending_probes",
         "_synced_ms",
         "_tasks",
     )
@@ -115,7 +115,7 @@
         self._live_ids = None
         self._list_rank = 0
         self._broadcast = TreeBroadcast(links=links, membership=self, host_id=own.id)
-        self._probes = 0
+        self._pending_probes = 0
         self._synced_ms = None
         self._tasks = TaskGroup()
         links.register(Probe, self._on_probe, urgent=True)
@@ -193,17 +193,17 @@
         """Mark this host as leaving, and notify some peers immediately."""
         self.table.leave()
         self._refresh()
-        near = [r.id for r in self.live(self.table.own.zone)]
-        notified = self._rng.sample(near, min(LEAVE_FANOUT, len(near)))
+        own_zone_ids = [r.id for r in self.live(self.table.own.zone)]
+        notified = self._rng.sample(own_zone_ids, min(LEAVE_FANOUT, len(own_zone_ids)))
         await asyncio.gather(*(self._probe_directly(host_id) for host_id in notified))
 
     def _probe_next(self):
         self.table.expire(self.listed.hosts_by_id)
         self._refresh()
         target = self._ring.next_id()
-        if target is None or self._probes >= MAX_CONCURRENT_PROBES:
+        if target is None or self._pending_probes >= MAX_CONCURRENT_PROBES:
             return
-        self._probes += 1
+        self._pending_probes += 1
         self._tasks.start(self._probe(target), f"probe {target}")
 
     async def _wait_interval(self):
@@ -230,8 +230,8 @@
 
     def _rank_for_list(self):
         own = self.table.own
-        near = [record.id for record in self.live(own.zone)]
-        order = rendezvous_order(f"host list/{own.zone}", near)
+        own_zone_ids = [record.id for record in self.live(own.zone)]
+        order = rendezvous_order(f"host list/{own.zone}", own_zone_ids)
         return order.index(own.id) if own.id in order else len(order)
 
     def _candidate_ids(self):
@@ -255,7 +255,7 @@
                 self.table.suspect(target)
                 self._refresh()
         finally:
-            self._probes -= 1
+            self._pending_probes -= 1
 
     def _max_probe_ms(self):
         return 3 * self._settings.probe_timeout_ms + PAUSE_THRESHOLD_MS
--- a/goldcrestmoor/process/metrics.py
+++ b/goldcrestmoor/process/metrics.py
@@ -26,7 +26,7 @@
 
 
 class Metrics:
-    """Every metric of one daemon, in a registry of its own."""
+    """The metrics of one daemon, in a separate registry."""
 
     __slots__ = (
         "registry",
--- a/goldcrestmoor/process/probe_ring.py
+++ b/goldcrestmoor/process/probe_ring.py
@@ -5,9 +5,9 @@
 from goldcrestmoor.process.membership_messages import HostState
 
 # The own zone is probed more often; updates on other zones arrive through many hosts.
-OTHER_ZONE_EVERY = 4
+OTHER_ZONE_EVERY_PROBES = 4
 # Detects hosts that recover, with little traffic to those that don't.
-DEAD_EVERY = 5
+DEAD_EVERY_PROBES = 5
 
 
 class ProbeRing:
@@ -44,9 +44,9 @@
             (self._own_zone, self._is_in_own_zone),
             (self._other_zones, self._is_in_other_zone),
         ]
-        if self._count % OTHER_ZONE_EVERY == 0:
+        if self._count % OTHER_ZONE_EVERY_PROBES == 0:
             rounds.reverse()
-        if self._count % DEAD_EVERY == 0:
+        if self._count % DEAD_EVERY_PROBES == 0:
             return self._next_dead() or self._next_live(rounds)
         return self._next_live(rounds) or self._next_dead()
 
