--- a/test/test_front_settings.py
+++ b/test/test_front_settings.py
@@ -76,7 +76,7 @@
         self.assertEqual(code, 2)
         self.assertIn("host.id", error)
 
-    def test_a_daemon_without_settings_says_what_it_wants(self):
+    def test_a_daemon_without_settings_names_the_variable(self):
         code, _, error = run("front")
         self.assertEqual(code, 2)
         self.assertIn("GOLDCRESTMOOR_SETTINGS", error)
--- a/test/test_http_server.py
+++ b/test/test_http_server.py
@@ -113,7 +113,7 @@
         name = "goldcrestmoor_bad_input_total"
         return self.metrics.registry.get_sample_value(name, {"where": where})
 
-    async def test_an_error_says_when_to_come_back(self):
+    async def test_an_error_carries_its_retry_delay(self):
         answer = await self.ask("GET", "/overloaded", [(b"x-request-id", b"abc")])
         headers = dict(answer.headers)
         self.assertEqual(answer.status, 429)
@@ -123,7 +123,7 @@
         body = json.loads(answer.body)
         self.assertEqual((body["code"], body["request_id"]), ("overloaded", "abc"))
 
-    async def test_an_unexpected_error_tells_nothing_of_the_inside(self):
+    async def test_an_unexpected_error_reveals_no_internals(self):
         with self.assertLogs("goldcrestmoor.http", "ERROR"):
             answer = await self.ask("GET", "/broken")
         self.assertEqual(json.loads(answer.body)["code"], "internal")
@@ -155,7 +155,7 @@
             self.assertIn(b'"bad_request"', answer)
         self.assertEqual(self.bad_input("http"), 3)
 
-    async def test_a_request_that_stops_coming_is_refused(self):
+    async def test_an_incomplete_request_times_out(self):
         head = b"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
         # A connection without a request is closed without a response.
         self.assertEqual(await self.ask_raw(b""), b"")
@@ -224,7 +224,7 @@
         self.assertEqual((await asking).status, 200)
         self.assertEqual(self.tracked, 0)
 
-    async def test_a_stream_ends_when_its_caller_goes(self):
+    async def test_a_stream_ends_when_its_caller_disconnects(self):
         opened = CountingHttp().stream(
             "127.0.0.1", self.port, "GET", "/stream", [], b"", TIMEOUT_MS
         )
@@ -232,6 +232,6 @@
             await anext(response.body())
         await asyncio.wait_for(self.closed.wait(), TIMEOUT_MS / 1000)
 
-    async def test_an_address_in_use_is_said_plainly(self):
+    async def test_an_address_in_use_is_reported(self):
         with self.assertRaisesRegex(UserError, "Cannot listen on"):
             await self.make_server().start()
--- a/test/test_leases.py
+++ b/test/test_leases.py
@@ -54,15 +54,15 @@
         await self.clock.advance(TAKEOVER_MARGIN_MS)
         self.assertIsNotNone(await waiting.acquire("duty", DURATION_MS))
 
-    async def test_two_tries_at_once_take_it_once(self):
+    async def test_concurrent_attempts_acquire_a_lease_once(self):
         """Two jobs of one model start at the same moment."""
         self.a_clock.thawed.clear()
-        tries = [
+        attempts = [
             asyncio.create_task(self.a.acquire("duty", DURATION_MS)) for _ in range(2)
         ]
         await settle()
         self.a_clock.thawed.set()
-        first, second = await asyncio.gather(*tries)
+        first, second = await asyncio.gather(*attempts)
         self.assertIs(first, second)
         self.assertEqual(first.fencing, 1)
 
@@ -112,7 +112,7 @@
         self.assertEqual(fencing, sorted(set(fencing)))
         self.assertGreater(len(leases), 2)
 
-    async def test_a_lost_answer_is_settled_by_reading_back(self):
+    async def test_a_lost_response_is_resolved_by_reading_back(self):
         self.table.lose_answers = 1
         lease = await self.take(self.a)
         self.assertEqual(lease.fencing, 1)
--- a/test/test_membership.py
+++ b/test/test_membership.py
@@ -147,16 +147,16 @@
             record = self.members_by_id[host_id].find("host-1")
             self.assertEqual(record.state, HostState.LEAVING)
 
-    async def test_a_frozen_host_is_not_alive_and_dead_by_turns(self):
+    async def test_a_host_that_freezes_repeatedly_seldom_changes_state(self):
         await self.start_fleet(5)
         changes = []
         watcher = self.members_by_id["host-0"]
-        lived = ["host-3" in self.seen_by("host-0")]
+        live_history = ["host-3" in self.seen_by("host-0")]
 
         def watch():
-            lives = "host-3" in self.seen_by("host-0")
-            if lives != lived[-1]:
-                lived.append(lives)
+            is_live = "host-3" in self.seen_by("host-0")
+            if is_live != live_history[-1]:
+                live_history.append(is_live)
                 changes.append(self.clock.now_ms())
 
         watcher.on_change(watch)
@@ -167,10 +167,10 @@
             thawed.set()
             await self.clock.advance(3000)
         self.assertLessEqual(len(changes), 8)
-        await self.clock.advance(2 * GENEROUS_MS, lambda: self.all_see(lived_all))
-        self.assertTrue(self.all_see(lived_all))
+        await self.clock.advance(2 * GENEROUS_MS, lambda: self.all_see(all_hosts))
+        self.assertTrue(self.all_see(all_hosts))
 
-    async def test_a_host_that_stood_still_suspects_nobody(self):
+    async def test_a_paused_host_suspects_nobody(self):
         await self.start_fleet(5)
         frozen = self.members_by_id["host-2"]
         before = frozen.find("host-2").incarnation
@@ -179,11 +179,11 @@
         self.clocks_by_id["host-2"].thawed.set()
         for _ in range(20):
             await self.clock.advance(100)
-            self.assertEqual(self.seen_by("host-2"), lived_all)
+            self.assertEqual(self.seen_by("host-2"), all_hosts)
         self.assertGreater(frozen.find("host-2").incarnation, before)
-        await self.wait_until(lambda: self.all_see(lived_all))
+        await self.wait_until(lambda: self.all_see(all_hosts))
 
-    async def test_a_freeze_takes_no_time_from_those_that_may_refute(self):
+    async def test_a_pause_does_not_shorten_the_time_to_refute(self):
         await self.start_fleet(5)
         frozen = self.members_by_id["host-2"]
         frozen.table.suspect("host-1")
@@ -194,7 +194,7 @@
             await self.clock.advance(100)
             self.assertNotEqual(frozen.find("host-1").state, HostState.DEAD)
 
-    async def test_a_cut_is_noticed_and_so_is_its_healing(self):
+    async def test_a_partition_and_its_healing_are_detected(self):
         await self.start_fleet(6, ("zone-a", "zone-b"))
         near = {"host-0", "host-2", "host-4"}
         far = {"host-1", "host-3", "host-5"}
@@ -213,7 +213,7 @@
         await self.wait_until(lambda: self.all_see(near | far))
         self.assertEqual(lost, set(), "A side lost its own hosts on healing.")
 
-    async def test_a_restarted_host_overrules_what_was_said_of_it(self):
+    async def test_a_restarted_host_overrides_older_records(self):
         await self.start_fleet(4)
         self.kill("host-1")
         await self.wait_until(lambda: self.all_see(self.members_by_id))
@@ -264,7 +264,7 @@
         self.assertLess(large, 2 * small)
         self.assertLess(large, CONTROL_BYTES_PER_S)
 
-    async def test_bytes_stay_bounded_while_there_is_news_of_every_host(self):
+    async def test_bytes_stay_bounded_while_every_host_has_updates(self):
         busy = await self.bytes_per_s(350, quiet=False)
         self.assertLess(busy, CONTROL_BYTES_PER_S)
 
@@ -302,7 +302,7 @@
         self.assertEqual(self.members_by_id["host-0"].find(fallback).zone, "zone-a")
 
 
-lived_all = {f"host-{i}" for i in range(5)}
+all_hosts = {f"host-{i}" for i in range(5)}
 
 
 class RealLinksTest(unittest.IsolatedAsyncioTestCase):
--- a/test/test_shutdown.py
+++ b/test/test_shutdown.py
@@ -43,7 +43,7 @@
         with self.assertLogs("goldcrestmoor.shutdown"):
             await self.shutdown.run()
 
-    async def test_nothing_in_flight_is_cut_and_new_work_is_turned_away(self):
+    async def test_requests_in_flight_finish_and_new_ones_are_rejected(self):
         running = asyncio.ensure_future(self.run_steps())
         with self.in_flight.track():
             await self.clock.advance(self.settings.unready_ms // 2)
@@ -65,14 +65,14 @@
         await running
         self.assertEqual(self.steps, ["leave", "hand over"])
 
-    async def test_a_request_that_never_ends_does_not_hold_it_up_for_good(self):
+    async def test_a_request_that_never_ends_does_not_block_the_shutdown(self):
         running = asyncio.ensure_future(self.run_steps())
         with self.in_flight.track():
             await self.clock.advance(2 * self.settings.drain_ms, running.done)
             self.assertTrue(running.done())
         await running
 
-    async def test_the_balancer_is_told(self):
+    async def test_readiness_is_reported_to_the_balancer(self):
         version = [0]
         app = Application()
         health.register_routes(
