--- a/goldcrestmoor/process/member_table.py
+++ b/goldcrestmoor/process/member_table.py
@@ -143,7 +143,7 @@
         self._queue_update(self.own.id)
 
     def resume_after_pause(self, pause_ms):
-        """Extend all timeouts by a pause of this process.
+        """Extend all timeouts by a pause of this process, and raise its incarnation.
 
         :param pause_ms: the length of the pause, in milliseconds.
         """
--- a/goldcrestmoor/process/store_connectivity.py
+++ b/goldcrestmoor/process/store_connectivity.py
@@ -34,8 +34,8 @@
 RELAY_TIMEOUT_MS = 1500
 # Peers queried in this host's zone; enough that one of them is alive.
 OWN_ZONE_PEERS = 2
-# Peers queried in other zones; bounds the traffic of an outage, and the answers of a
-# majority of four suffice.
+# Peers queried in all other zones together; bounds the traffic of an outage, and the
+# answers of a majority of four suffice.
 OTHER_ZONE_PEERS = 4
 # An outage of the store lasts seconds.
 REGISTER_RETRY_MS = 500
