--- a/goldcrestmoor/process/callers.py
+++ b/goldcrestmoor/process/callers.py
@@ -1,4 +1,4 @@
-"""What serves callers: the HTTP server and the parts behind its routes."""
+"""Services for callers: the HTTP server and the components behind its routes."""
 
 from goldcrestmoor import util
 from goldcrestmoor.process import health, policies
@@ -24,11 +24,11 @@
 from goldcrestmoor.version.steps.step_sweeper import StepSweeper
 
 
-class Callers:
-    """Everything on one host that serves applications and trainers.
+class CallerServices:
+    """The components of one host that serve applications and trainers.
 
-    :param daemon: the :class:`~goldcrestmoor.process.daemon.Daemon` whose parts are
-        used.
+    :param daemon: the :class:`~goldcrestmoor.process.daemon.Daemon` whose components
+        are used.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
         "_steps",
         "_step_sweeper",
         "server",
-        "_memory",
+        "_outcome_cache",
         "_claims",
         "_store",
         "_daemon",
@@ -70,33 +70,33 @@
         self._register_routes(self._make_keys())
 
     async def start(self, tasks):
-        """Start to serve.
+        """Start serving.
 
         :param tasks: the :class:`~goldcrestmoor.util.TaskGroup` to run in.
         """
         tasks.start(self.admission.run(), "admission")
         tasks.start(self.admission_owner.run(), "owner")
         tasks.start(self._store.run(), "step store")
-        tasks.start(self._sweeper().run(), "claim sweeper")
+        tasks.start(self._claim_sweeper().run(), "claim sweeper")
         tasks.start(self._step_sweeper.run(), "step sweeper")
         await self.server.start()
 
     async def hand_over(self):
-        """Give up the steps held here."""
+        """Hand over the steps held by this host."""
         await self.holder.hand_over()
 
     async def close(self, timeout_ms):
         """Stop serving.
 
-        :param timeout_ms: how long requests in flight may take, in milliseconds.
+        :param timeout_ms: how long to wait for requests in flight, in milliseconds.
         """
         await self.server.stop(timeout_ms)
         await self.holder.close()
         await self.completions.close()
         await self._claims.close()
-        await self._memory.close()
+        await self._outcome_cache.close()
 
-    def _sweeper(self):
+    def _claim_sweeper(self):
         daemon = self._daemon
         return ClaimSweeper(
             clock=daemon.clock,
@@ -118,7 +118,7 @@
         )
 
     def is_leaving(self, upstream):
-        """Tell whether an upstream is leaving, by the host list or its own answers.
+        """Return whether the host list or an upstream itself reports it as leaving.
 
         :param upstream: the upstream's name.
         """
@@ -212,7 +212,7 @@
     def _make_keys(self):
         daemon = self._daemon
         settings = daemon.settings
-        # A key must name the very process that minted it, also after a restart within
+        # A key must identify the process that minted it, even after a restart within
         # the same millisecond.
         incarnation = util.new_id()
         mint = KeyMint(
@@ -221,7 +221,7 @@
             incarnation=incarnation,
             secret=settings.security.fleet_secret_key,
         )
-        self._memory = OutcomeCache(
+        self._outcome_cache = OutcomeCache(
             clock=daemon.clock,
             settings=settings.idempotency,
             in_flight=daemon.in_flight,
@@ -229,7 +229,7 @@
         bound = MintedKeys(
             clock=daemon.clock,
             mint=mint,
-            memory=self._memory,
+            memory=self._outcome_cache,
             applications=self.applications,
             links=daemon.links,
             membership=daemon.membership,
@@ -241,7 +241,7 @@
             host_id=settings.host.id,
             incarnation=incarnation,
             table=daemon.table,
-            memory=self._memory,
+            memory=self._outcome_cache,
             applications=self.applications,
             links=daemon.links,
             settings=settings.idempotency,
--- a/goldcrestmoor/process/daemon.py
+++ b/goldcrestmoor/process/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts, and the order in which they start and stop."""
+"""The daemon: its components, and the order in which they start and stop."""
 
 import asyncio
 import logging
@@ -16,7 +16,7 @@
 from goldcrestmoor.connection.retry_budget import RetryBudget
 from goldcrestmoor.process import policies
 from goldcrestmoor.process.broadcast import TreeBroadcast
-from goldcrestmoor.process.callers import Callers
+from goldcrestmoor.process.callers import CallerServices
 from goldcrestmoor.process.decision_log import DecisionLog
 from goldcrestmoor.process.leases import LeaseClient
 from goldcrestmoor.process.leaving_answers import LeavingAnswers
@@ -35,12 +35,12 @@
 
 # Metrics are scraped every few seconds.
 GAUGE_INTERVAL_MS = 1000
-# A clean end of what runs takes milliseconds; a hung part must not hold up the rest.
+# A clean stop takes milliseconds; a hung component must not block the others.
 CLOSE_TIMEOUT_MS = 5000
 
 
 class Daemon:
-    """One host's process.
+    """The daemon process of one host.
 
     :param settings: the host's :class:`~goldcrestmoor.settings.Settings`.
     """
@@ -82,7 +82,7 @@
         self.decisions = DecisionLog(self.clock)
         self._stop = asyncio.Event()
         self._tasks = TaskGroup()
-        self._make_outside_clients()
+        self._make_external_clients()
         self._make_fleet()
         self._make_versions()
         self.in_flight = InFlight()
@@ -92,18 +92,18 @@
             in_flight=self.in_flight,
             membership=self.membership,
         )
-        self.callers = Callers(self)
+        self.callers = CallerServices(self)
         self.operators = Operators(self)
         self.shutdown.before_leaving(self.callers.hand_over)
         self.shutdown.on_hand_over(self.orders.stop)
         self.shutdown.on_hand_over(self.leases.release_all)
 
     def configuration(self):
-        """Return the configuration that this host may act on now."""
+        """Return the configuration that this host may currently act on."""
         return self.lease.view().configuration
 
     async def run(self):
-        """Serve until told to stop, then shut down gracefully."""
+        """Serve until a stop signal, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
@@ -116,7 +116,7 @@
             await self._close()
         log.info("Stopped.")
 
-    def _make_outside_clients(self):
+    def _make_external_clients(self):
         limits = self.settings.limits
         self.http = HttpClient(
             clock=self.clock, limits=limits, source=self.settings.host.address
@@ -163,7 +163,7 @@
         self.engines = EngineClient(
             http=self.http, clock=self.clock, on_leaving=self.leaving.note
         )
-        self.membership.share_leaving(self.leaving, self._draining_upstreams)
+        self.membership.set_leaving_sources(self.leaving, self._draining_upstreams)
         self.lease = ConfigurationLease(
             clock=self.clock,
             table=self.table,
@@ -223,7 +223,7 @@
             ("configuration", self.lease.run()),
             ("versions", self.versions.run()),
             ("orders", self.orders.run()),
-            ("gauges", self._keep_gauges()),
+            ("gauges", self._update_gauges()),
         ):
             self._tasks.start(coroutine, name)
         await self.callers.start(self._tasks)
@@ -236,9 +236,9 @@
                 async with asyncio.timeout(CLOSE_TIMEOUT_MS / MS_PER_SECOND):
                     await close()
             except TimeoutError:
-                log.warning("A part did not close in time.")
+                log.warning("A component did not close in time.")
 
-    async def _keep_gauges(self):
+    async def _update_gauges(self):
         while True:
             self.metrics.lease_age_ms.set(self.lease.lease_age_ms() or 0)
             self.metrics.configuration_version.set(self.lease.version)
--- a/goldcrestmoor/process/http_protocol.py
+++ b/goldcrestmoor/process/http_protocol.py
@@ -1,4 +1,4 @@
-"""One connection from a caller: refusals as JSON, and heads that come in time."""
+"""HTTP protocol of caller connections: errors as JSON, and a request head timeout."""
 
 import h11
 import msgspec
@@ -10,14 +10,14 @@
 
 
 def protocol_class(metrics, head_timeout_ms):
-    """Return uvicorn's protocol with this service's refusals and timeout.
+    """Return uvicorn's protocol with this service's error format and head timeout.
 
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param head_timeout_ms: how long a request's head may take, in milliseconds.
+    :param head_timeout_ms: the timeout for a request head, in milliseconds.
     """
 
     class Protocol(H11Protocol):
-        """HTTP/1.1 whose refusals are JSON, and whose heads come in time."""
+        """HTTP/1.1 with JSON error responses and a request head timeout."""
 
         head_timer = None
 
@@ -31,18 +31,20 @@
 
         def data_received(self, data):
             super().data_received(data)
-            has_part = bool(self.conn.trailing_data[0])
-            if self.conn.their_state is not h11.IDLE or not has_part:
+            has_partial_head = bool(self.conn.trailing_data[0])
+            if self.conn.their_state is not h11.IDLE or not has_partial_head:
                 self._stop_head_timer()
             elif self.head_timer is None:
                 self._start_head_timer()
 
         def send_400_response(self, msg):
-            self._refuse(ServiceError(ErrorKind.BAD_REQUEST, "The head is malformed."))
+            self._reject(
+                ServiceError(ErrorKind.BAD_REQUEST, "The request head is malformed.")
+            )
 
         def _start_head_timer(self):
             self.head_timer = self.loop.call_later(
-                head_timeout_ms / MS_PER_SECOND, self._head_is_late
+                head_timeout_ms / MS_PER_SECOND, self._on_head_timeout
             )
 
         def _stop_head_timer(self):
@@ -50,15 +52,15 @@
                 self.head_timer.cancel()
                 self.head_timer = None
 
-        def _head_is_late(self):
+        def _on_head_timeout(self):
             if not self.conn.trailing_data[0]:
-                # An answer here could be taken for that of a later request.
+                # A response here could be mistaken for the response to a later request.
                 self.transport.close()
                 return
-            text = f"The head did not come within {head_timeout_ms} ms."
-            self._refuse(ServiceError(ErrorKind.BAD_REQUEST, text))
+            text = f"The request head did not arrive within {head_timeout_ms} ms."
+            self._reject(ServiceError(ErrorKind.BAD_REQUEST, text))
 
-        def _refuse(self, error):
+        def _reject(self, error):
             metrics.bad_input.labels("http").inc()
             body = msgspec.json.encode(errors.to_body(error))
             head = (
--- a/goldcrestmoor/process/http_server.py
+++ b/goldcrestmoor/process/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers: blacksheep on uvicorn."""
+"""HTTP server for callers, built on blacksheep and uvicorn."""
 
 import asyncio
 import contextlib
@@ -20,22 +20,22 @@
 
 log = logging.getLogger("goldcrestmoor.http")
 
-# Callers that ask every few seconds keep their connection.
+# Callers that send a request every few seconds keep their connection.
 KEEP_ALIVE_MS = 30_000
-# What is cut off still gets to say so.
+# Time for aborted requests to send their error response.
 STOP_GRACE_MS = 2000
-UNCOUNTED_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
+UNTRACKED_PATHS = frozenset({"/healthz", "/readyz", "/metrics"})
 EXIT_CANNOT_LISTEN = 1
 REQUEST_ID = re.compile(r"^[A-Za-z0-9._-]{1,64}$")
 
 
 def error_response(error, request_id="", retry_headers=None):
-    """Return the answer that an error gives.
+    """Return the response for an error.
 
     :param error: a :class:`~goldcrestmoor.errors.ServiceError`.
-    :param request_id: the request that it ends.
-    :param retry_headers: makes headers of the time after which to come back, in
-        milliseconds; this service's own when left out.
+    :param request_id: the request that failed.
+    :param retry_headers: returns the headers for a retry delay in milliseconds; the
+        service's default headers when omitted.
     """
     body = msgspec.json.encode(errors.to_body(error, request_id))
     content = Content(b"application/json", body)
@@ -54,7 +54,7 @@
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves the process's signals alone."""
+    """A uvicorn server that installs no signal handlers."""
 
     def __init__(self, config):
         super().__init__(config)
@@ -70,35 +70,35 @@
 
 
 class ServerOptions(msgspec.Struct, frozen=True):
-    """Where a server departs from this service's own interface.
+    """Options of one server.
 
-    :param port: the TCP port, where it isn't the host's own.
-    :param id_header: the header with the caller's id of a request.
+    :param port: the TCP port, if not the host's HTTP port.
+    :param id_header: the header that carries the caller's request id.
     :param retry_headers: as for :func:`error_response`.
-    :param keep_alive_ms: how long an idle connection is kept.
-    :param ends_with_caller: whether all work on a request ends when its caller
-        has gone, not only a stream that has begun.
-    :param is_closing: tells whether connections are to be closed after an answer.
+    :param keep_alive_ms: how long an idle connection stays open, in milliseconds.
+    :param cancels_on_disconnect: whether a disconnect of the caller cancels every
+        request, not only a stream that has started.
+    :param is_closing: returns whether to close connections after a response.
     """
 
     port: int | None = None
     id_header: bytes = b"x-request-id"
     retry_headers: Callable[[int], list] | None = None
     keep_alive_ms: int = KEEP_ALIVE_MS
-    ends_with_caller: bool = False
+    cancels_on_disconnect: bool = False
     is_closing: Callable[[], bool] = lambda: False
 
 
 class HttpServer:
-    """Serve callers on the host's address.
+    """Serves callers on the host's address.
 
     Routes are added to ``application`` before ``start`` is called.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param settings: the host's :class:`~goldcrestmoor.settings.Settings`.
     :param metrics: the :class:`~goldcrestmoor.process.metrics.Metrics`.
-    :param in_flight: counts requests by ``track()``, and refuses them while the
-        host shuts down; None to take all.
+    :param in_flight: counts requests with ``track()``, and rejects them while the
+        host shuts down; None to accept all.
     :param options: a :class:`ServerOptions`.
     """
 
@@ -128,9 +128,9 @@
         handlers[404] = self._answer_not_found
 
     async def start(self):
-        """Listen and serve in a task of its own.
+        """Listen, and serve in a separate task.
 
-        :raises UserError: when the address cannot be listened on.
+        :raises UserError: when listening on the address fails.
         """
         host, limits = self._settings.host, self._settings.limits
         port = self._options.port or host.http_port
@@ -160,9 +160,9 @@
         log.info("Serving on %s:%d.", host.address, port)
 
     async def stop(self, timeout_ms):
-        """Take no new connections, and let requests in flight finish.
+        """Accept no new connections, and let requests in flight finish.
 
-        :param timeout_ms: when to cut off what has not finished, in milliseconds.
+        :param timeout_ms: when to abort unfinished requests, in milliseconds.
         """
         if self._server is None:
             return
@@ -171,7 +171,7 @@
         bound_s = (timeout_ms + STOP_GRACE_MS) / MS_PER_SECOND
         done, _ = await asyncio.wait([self._task], timeout=bound_s)
         if not done:
-            log.warning("Cut off requests that did not finish in %d ms.", timeout_ms)
+            log.warning("Aborted requests that did not finish in %d ms.", timeout_ms)
             self._task.cancel()
         await self.application.stop()
 
@@ -192,9 +192,11 @@
                 send = _with_header(send, id_header, request_id)
                 if self._options.is_closing():
                     send = _with_header(send, b"connection", "close")
-                watch = _CallerWatch(receive, send, self._options.ends_with_caller)
-                bounded = _bounded(watch.receive, self._settings.limits)
-                await watch.run(self._handle(scope, bounded, watch.send))
+                watcher = _DisconnectWatcher(
+                    receive, send, self._options.cancels_on_disconnect
+                )
+                bounded = _with_body_limits(watcher.receive, self._settings.limits)
+                await watcher.run(self._handle(scope, bounded, watcher.send))
         finally:
             logs.request_id.reset(token)
             elapsed_s = (self._clock.now_ms() - started_ms) / MS_PER_SECOND
@@ -202,14 +204,14 @@
             self._metrics.request_seconds.labels(known).observe(elapsed_s)
 
     async def _handle(self, scope, receive, send):
-        if self._in_flight is None or scope["path"] in UNCOUNTED_PATHS:
+        if self._in_flight is None or scope["path"] in UNTRACKED_PATHS:
             await self.application(scope, receive, send)
             return
         try:
             with self._in_flight.track():
                 await self.application(scope, receive, send)
         except ServiceError as e:
-            # The application answers its own errors; this one came before it.
+            # The application handles its own errors; this one was raised before it ran.
             response = self._error_response(e)
             response.add_header(b"Connection", b"close")
             await send_asgi_response(response, send)
@@ -221,13 +223,13 @@
             self._metrics.bad_input.labels("token").inc()
         response = self._error_response(error)
         if error.kind in (ErrorKind.TOO_LARGE, ErrorKind.BAD_REQUEST):
-            # What may be left of the body is not read, so the connection is of no use.
+            # The rest of the body is not read, so the connection cannot be reused.
             response.add_header(b"Connection", b"close")
         return response
 
     async def _answer_unexpected(self, app, request, error):
         log.error("A request failed unexpectedly.", exc_info=error)
-        internal = ServiceError(ErrorKind.INTERNAL, "An unexpected error.")
+        internal = ServiceError(ErrorKind.INTERNAL, "Unexpected internal error.")
         return self._error_response(internal)
 
     async def _answer_not_found(self, app, request, error):
@@ -239,39 +241,46 @@
         return error_response(error, request_id, self._options.retry_headers)
 
 
-class _CallerWatch:
-    """End the work on a request when its caller has gone.
+class _DisconnectWatcher:
+    """Cancels the work on a request when its caller disconnects.
 
-    A streamed answer always ends then. One that is not streamed is left to finish,
-    as what it does for its caller may have to be recorded, unless told otherwise.
+    A streaming response is always cancelled. Any other response is completed unless
+    ``cancels_all`` is set, because its effects may have to be recorded.
     """
 
-    __slots__ = ("_receive", "_send", "_ends_all", "_task", "_watcher", "_gone")
+    __slots__ = (
+        "_receive",
+        "_send",
+        "_cancels_all",
+        "_task",
+        "_watcher",
+        "_disconnected",
+    )
 
-    def __init__(self, receive, send, ends_all):
+    def __init__(self, receive, send, cancels_all):
         self._receive = receive
         self._send = send
-        self._ends_all = ends_all
+        self._cancels_all = cancels_all
         self._task = None
         self._watcher = None
-        self._gone = False
+        self._disconnected = False
 
     async def run(self, serving):
         self._task = asyncio.current_task()
         try:
             await serving
         except asyncio.CancelledError:
-            if not self._gone:
+            if not self._disconnected:
                 raise
-            log.info("The caller has gone.")
+            log.info("The caller disconnected.")
         finally:
             if self._watcher is not None:
                 self._watcher.cancel()
 
     async def receive(self):
         message = await self._receive()
-        is_whole = message["type"] == "http.request" and not message.get("more_body")
-        if self._ends_all and is_whole:
+        is_complete = message["type"] == "http.request" and not message.get("more_body")
+        if self._cancels_all and is_complete:
             self._start()
         return message
 
@@ -280,7 +289,7 @@
             "more_body"
         )
         if is_last and self._watcher is not None:
-            # The end of the answer looks to the watcher like the caller's leaving.
+            # The watcher would take the end of the response for a disconnect.
             self._watcher.cancel()
         await self._send(message)
         if message.get("more_body"):
@@ -293,14 +302,14 @@
     async def _watch(self):
         while (await self._receive())["type"] != "http.disconnect":
             pass
-        self._gone = True
+        self._disconnected = True
         self._task.cancel()
 
 
 def _listen(address, port):
     family = socket.AF_INET6 if ":" in address else socket.AF_INET
-    # Without the protocol's name asyncio leaves Nagle's algorithm on, and an answer
-    # of two writes waits for the caller's delayed acknowledgement.
+    # Without an explicit protocol asyncio leaves Nagle's algorithm enabled, and a
+    # response of two writes waits for the caller's delayed acknowledgement.
     listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -313,7 +322,7 @@
     return listener
 
 
-def _bounded(receive, limits):
+def _with_body_limits(receive, limits):
     total = 0
 
     async def receive_bounded():
@@ -325,7 +334,7 @@
             raise ServiceError(ErrorKind.BAD_REQUEST, text) from None
         total += len(message.get("body", b""))
         if total > limits.max_body_bytes:
-            text = f"Bodies end at {limits.max_body_bytes} bytes."
+            text = f"The body is larger than {limits.max_body_bytes} bytes."
             raise ServiceError(ErrorKind.TOO_LARGE, text)
         return message
 
@@ -333,7 +342,7 @@
 
 
 def _with_header(send, name, value):
-    """Return a ``send`` that adds a header to answers that don't have it."""
+    """Return a ``send`` that adds a header to responses without it."""
     header = (name, value.encode())
 
     async def send_with_header(message):
--- a/goldcrestmoor/process/listed_hosts.py
+++ b/goldcrestmoor/process/listed_hosts.py
@@ -1,4 +1,4 @@
-"""The platform's lagging host list, as last read here or by a host near by."""
+"""The platform's host list, which lags, as last read here or by a nearby host."""
 
 import enum
 import logging
@@ -9,11 +9,11 @@
 
 log = logging.getLogger("goldcrestmoor.membership")
 
-UNREAD_POLLS = 1.5
+STALE_POLLS = 1.5
 READERS = 2
-SILENT_POLLS = 1.25
+FALLBACK_POLLS = 1.25
 MAX_STAGGER_CHECKS = 4
-HOLD_POLLS = 2
+RETAIN_POLLS = 2
 CHECKS_PER_POLL = 8
 MAX_BACKOFF_POLLS = 5
 MAX_LEAVING_UPSTREAMS = 64
@@ -22,33 +22,33 @@
 
 
 class ListedKind(enum.StrEnum):
-    """What a list entry names."""
+    """Kind of a list entry."""
 
     HOST = "host"
     UPSTREAM = "upstream"
 
 
 class ListedState(enum.StrEnum):
-    """What the list says of an entry."""
+    """State of an entry in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedHosts:
-    """Reads the host list, or hears what others read, and knows how old that is.
+    """Reads the host list, or receives what other hosts read, and tracks its age.
 
-    The list grows with the fleet, so that a few hosts of each zone read it often
-    and tell the others what is leaving. Hosts that hear of no reading for a while
-    read it themselves, the next ones in rank first, and tell the others likewise.
+    The list grows with the fleet, so only a few hosts of each zone read it often and
+    send the others the upstreams that are leaving. Hosts that receive no reading for
+    a while read the list themselves, in order of rank, and send the result likewise.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param host_list: the :class:`~goldcrestmoor.adapters.hosts.HostListClient`.
     :param poll_ms: how often it is read, in milliseconds.
-    :param rank: gives this host's place among its zone's hosts for this duty, from
+    :param rank: returns this host's rank among its zone's hosts for this duty, from
         0; the first :data:`READERS` read at every poll.
     :param on_read: called with the names of the leaving upstreams after a reading
-        that the zone's other hosts should hear of.
+        that the zone's other hosts should receive.
     """
 
     __slots__ = (
@@ -60,9 +60,9 @@
         "_on_read",
         "_entries",
         "_read_ms",
-        "_known_ms",
+        "_updated_ms",
         "_next_refresh_ms",
-        "_named_ms_by_upstream",
+        "_leaving_ms_by_upstream",
         "_leaving",
     )
 
@@ -75,49 +75,49 @@
         self._on_read = on_read or (lambda names: None)
         self._entries = None
         self._read_ms = None
-        self._known_ms = None
+        self._updated_ms = None
         self._next_refresh_ms = 0
-        self._named_ms_by_upstream = {}
+        self._leaving_ms_by_upstream = {}
         self._leaving = frozenset()
 
-    def is_unread(self):
-        """Tell whether it is time to go by what other zones' hosts read."""
-        if self._known_ms is None:
+    def is_stale(self):
+        """Return whether this host should use readings of other zones' hosts."""
+        if self._updated_ms is None:
             return True
-        return self._clock.now_ms() - self._known_ms > UNREAD_POLLS * self._poll_ms
+        return self._clock.now_ms() - self._updated_ms > STALE_POLLS * self._poll_ms
 
     def leaving_upstreams(self):
         """Return the names of the upstreams that are leaving."""
         return self._leaving
 
-    def take_leaving(self, names):
-        """Take in what a peer knows, while this host learns of no reading.
+    def add_leaving(self, names):
+        """Add upstreams that a peer reports, while this host receives no reading.
 
         :param names: the upstreams that are leaving.
         """
-        if self.is_unread() and len(self._leaving) < MAX_LEAVING_UPSTREAMS:
+        if self.is_stale() and len(self._leaving) < MAX_LEAVING_UPSTREAMS:
             now_ms = self._clock.now_ms()
-            self._named_ms_by_upstream.update(dict.fromkeys(names, now_ms))
+            self._leaving_ms_by_upstream.update(dict.fromkeys(names, now_ms))
             self._leaving = self._leaving.union(names)
 
-    def take_reading(self, names):
-        """Take in what the list names as leaving, read here or by another host.
+    def apply_reading(self, names):
+        """Apply one reading of the list, made here or by another host.
 
         :param names: all upstreams that are leaving.
         """
         now_ms = self._clock.now_ms()
-        named = self._named_ms_by_upstream
-        named.update(dict.fromkeys(names, now_ms))
-        # A reading that was long on its way must not bring an upstream back
-        # that a newer one names, so that one reading without it is not enough.
-        oldest_ms = now_ms - HOLD_POLLS * self._poll_ms
-        for name in [name for name, at_ms in named.items() if at_ms < oldest_ms]:
-            del named[name]
-        self._leaving = frozenset(named)
-        self._known_ms = now_ms
+        leaving_ms = self._leaving_ms_by_upstream
+        leaving_ms.update(dict.fromkeys(names, now_ms))
+        # A delayed reading must not reinstate an upstream that a newer reading lists
+        # as leaving, so one reading without the upstream is not enough.
+        oldest_ms = now_ms - RETAIN_POLLS * self._poll_ms
+        for name in [name for name, at_ms in leaving_ms.items() if at_ms < oldest_ms]:
+            del leaving_ms[name]
+        self._leaving = frozenset(leaving_ms)
+        self._updated_ms = now_ms
 
     async def run(self):
-        """Keep the list's readings fresh until cancelled."""
+        """Read the list whenever a reading is due, until cancelled."""
         backoff = Backoff(self._poll_ms, self._poll_ms * MAX_BACKOFF_POLLS)
         while True:
             if not self._is_due():
@@ -127,7 +127,7 @@
                 await self._read()
                 backoff.reset()
             except ServiceError as e:
-                log.warning("The host list was not read: %s.", e)
+                log.warning("Reading the host list failed: %s.", e)
                 await self._clock.sleep_ms(backoff.next_ms())
 
     def _is_due(self):
@@ -135,36 +135,38 @@
         if self._read_ms is None or now_ms >= self._next_refresh_ms:
             return True
         if self._rank() >= READERS:
-            return self._hears_nothing()
-        # Rounded up to the next check, readings must not come too late.
+            return self._has_no_recent_reading()
+        # Readings are rounded up to the next check; one check less keeps them on time.
         interval_ms = self._poll_ms * (1 - 1 / CHECKS_PER_POLL)
         return now_ms - self._read_ms >= interval_ms
 
-    def _hears_nothing(self):
-        # One after the other, so that the first can spare the rest their reading.
+    def _has_no_recent_reading(self):
+        # Staggered by rank, so that the first reading makes the others unnecessary.
         checks = min(max(0, self._rank() - READERS) // READERS, MAX_STAGGER_CHECKS)
-        polls = SILENT_POLLS + checks / CHECKS_PER_POLL
-        return self._clock.now_ms() - self._known_ms >= polls * self._poll_ms
+        polls = FALLBACK_POLLS + checks / CHECKS_PER_POLL
+        return self._clock.now_ms() - self._updated_ms >= polls * self._poll_ms
 
     async def _read(self):
         sent_ms = self._clock.now_ms()
-        # A starting host's first reading is for itself alone.
+        # The first reading after a start is not shared.
         is_first = self._read_ms is None
-        is_shared = not is_first and (self._rank() < READERS or self._hears_nothing())
+        is_shared = not is_first and (
+            self._rank() < READERS or self._has_no_recent_reading()
+        )
         entries = await self._host_list.fetch()
         if entries is not self._entries:
-            self._take(list(entries))
+            self._apply_entries(list(entries))
             self._entries = entries
         self._read_ms = sent_ms
-        # Hosts that were started together must not read together.
+        # Jitter, so that hosts that started together do not read together.
         self._next_refresh_ms = sent_ms + REFRESH_MS * random.uniform(1 - JITTER, 1)
         leaving = _leaving(entries)
-        self.take_reading(leaving)
-        # A reading that took long, as in a freeze, is news to nobody.
+        self.apply_reading(leaving)
+        # A reading that took long, as when the process was frozen, is out of date.
         if is_shared and self._clock.now_ms() - sent_ms < self._poll_ms:
             self._on_read(leaving)
 
-    def _take(self, entries):
+    def _apply_entries(self, entries):
         hosts = (entry for entry in entries if entry.kind == ListedKind.HOST)
         self.hosts_by_id = {host.id: host for host in hosts}
 
--- a/test/test_http_server.py
+++ b/test/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server answers bad input clearly, and stops without cutting off."""
+"""The HTTP server rejects bad input, and stops without aborting requests."""
 
 import asyncio
 import contextlib
@@ -57,7 +57,7 @@
 
     @contextlib.contextmanager
     def track(self):
-        """Count requests as the shutdown does."""
+        """Count requests as ``InFlight`` does."""
         if not self.open:
             raise ServiceError(ErrorKind.DRAINING)
         self.tracked += 1
@@ -113,7 +113,7 @@
         name = "goldcrestmoor_bad_input_total"
         return self.metrics.registry.get_sample_value(name, {"where": where})
 
-    async def test_an_error_says_when_to_come_back(self):
+    async def test_an_error_carries_its_retry_delay(self):
         answer = await self.ask("GET", "/overloaded", [(b"x-request-id", b"abc")])
         headers = dict(answer.headers)
         self.assertEqual(answer.status, 429)
@@ -123,7 +123,7 @@
         body = json.loads(answer.body)
         self.assertEqual((body["code"], body["request_id"]), ("overloaded", "abc"))
 
-    async def test_an_unexpected_error_tells_nothing_of_the_inside(self):
+    async def test_an_unexpected_error_reveals_no_internals(self):
         with self.assertLogs("goldcrestmoor.http", "ERROR"):
             answer = await self.ask("GET", "/broken")
         self.assertEqual(json.loads(answer.body)["code"], "internal")
@@ -155,9 +155,9 @@
             self.assertIn(b'"bad_request"', answer)
         self.assertEqual(self.bad_input("http"), 3)
 
-    async def test_a_request_that_stops_coming_is_refused(self):
+    async def test_an_incomplete_request_times_out(self):
         head = b"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
-        # A connection without a request is closed with no answer.
+        # A connection without a request is closed without a response.
         self.assertEqual(await self.ask_raw(b""), b"")
         for data in (b"GET / HT", head[:-1], head, head + b"{"):
             answer = await self.ask_raw(data)
@@ -165,17 +165,17 @@
 
     async def test_a_body_that_came_during_a_stall_is_read(self):
         head = b"POST /read HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n"
-        patience_s = PROGRESS_TIMEOUT_MS / 1000
+        timeout_s = PROGRESS_TIMEOUT_MS / 1000
         loop = asyncio.get_running_loop()
-        loop.slow_callback_duration = 4 * patience_s
+        loop.slow_callback_duration = 4 * timeout_s
         with socket.create_connection(("127.0.0.1", self.port)) as caller:
             caller.sendall(head)
-            # A thread goes on while the loop stands still.
-            rest = threading.Timer(patience_s, caller.sendall, (b"123456789",))
+            # A thread keeps running while the event loop is blocked.
+            rest = threading.Timer(timeout_s, caller.sendall, (b"123456789",))
             rest.start()
             self.addCleanup(rest.join)
-            loop.call_later(patience_s / 2, time.sleep, 2 * patience_s)
-            await asyncio.sleep(3 * patience_s)
+            loop.call_later(timeout_s / 2, time.sleep, 2 * timeout_s)
+            await asyncio.sleep(3 * timeout_s)
             answer = await asyncio.to_thread(caller.recv, 65536)
         self.assertNotIn(b"stopped coming", answer)
         self.assertIn(b"HTTP/1.1 400 ", answer)
@@ -224,7 +224,7 @@
         self.assertEqual((await asking).status, 200)
         self.assertEqual(self.tracked, 0)
 
-    async def test_a_stream_ends_when_its_caller_goes(self):
+    async def test_a_stream_ends_when_its_caller_disconnects(self):
         opened = CountingHttp().stream(
             "127.0.0.1", self.port, "GET", "/stream", [], b"", TIMEOUT_MS
         )
@@ -232,6 +232,6 @@
             await anext(response.body())
         await asyncio.wait_for(self.closed.wait(), TIMEOUT_MS / 1000)
 
-    async def test_an_address_in_use_is_said_plainly(self):
+    async def test_an_address_in_use_is_reported(self):
         with self.assertRaisesRegex(UserError, "Cannot listen on"):
             await self.make_server().start()
--- a/test/test_leases.py
+++ b/test/test_leases.py
@@ -1,10 +1,10 @@
-"""A lease has one holder, also across freezes, outages and lost answers."""
+"""A lease has one holder, also across frozen processes, outages and lost responses."""
 
 import asyncio
 import unittest
 
 from goldcrestmoor.errors import ErrorKind, ServiceError
-from goldcrestmoor.process.leases import TAKE_MARGIN_MS, LeaseClient
+from goldcrestmoor.process.leases import TAKEOVER_MARGIN_MS, LeaseClient
 from test import _table
 from test._fleet import HostClock, ManualClock, settle
 
@@ -28,7 +28,7 @@
         return clock, client
 
     async def take(self, client):
-        """Try until the lease is taken."""
+        """Retry until the lease is acquired."""
         end_ms = self.clock.now_ms() + GENEROUS_MS
         while (lease := await client.acquire("duty", DURATION_MS)) is None:
             self.assertLess(self.clock.now_ms(), end_ms)
@@ -43,26 +43,26 @@
             self.assertTrue(lease.holds())
 
     async def test_a_holder_that_a_slow_store_holds_up_is_not_followed(self):
-        """Reads take a quarter of a second; a renewal waits behind others for more."""
+        """Reads take a quarter of a second; a queued renewal takes longer."""
         await self.take(self.a)
         _, waiting = self.make_client("host-c", latency_ms=lambda: 240)
         self.a_clock.thawed.clear()
-        # The last renewal before the freeze may have landed since the lease was taken.
+        # The last renewal before the freeze may be newer than the acquisition.
         self.assertIsNone(await waiting.acquire("duty", DURATION_MS))
-        await self.clock.advance(DURATION_MS + 2 * TAKE_MARGIN_MS)
+        await self.clock.advance(DURATION_MS + 2 * TAKEOVER_MARGIN_MS)
         self.assertIsNone(await waiting.acquire("duty", DURATION_MS))
-        await self.clock.advance(TAKE_MARGIN_MS)
+        await self.clock.advance(TAKEOVER_MARGIN_MS)
         self.assertIsNotNone(await waiting.acquire("duty", DURATION_MS))
 
-    async def test_two_tries_at_once_take_it_once(self):
-        """Two jobs of one model are taken up at the same moment."""
+    async def test_concurrent_attempts_acquire_a_lease_once(self):
+        """Two jobs of one model start at the same moment."""
         self.a_clock.thawed.clear()
-        tries = [
+        attempts = [
             asyncio.create_task(self.a.acquire("duty", DURATION_MS)) for _ in range(2)
         ]
         await settle()
         self.a_clock.thawed.set()
-        first, second = await asyncio.gather(*tries)
+        first, second = await asyncio.gather(*attempts)
         self.assertIs(first, second)
         self.assertEqual(first.fencing, 1)
 
@@ -70,7 +70,7 @@
         old = await self.take(self.a)
         self.a_clock.thawed.clear()
         new = await self.take(self.b)
-        # Each holder's own clock says so at the moment of the new holding.
+        # The old lease has expired by its holder's clock when the new one is acquired.
         self.assertFalse(old.holds())
         self.assertGreater(new.fencing, old.fencing)
         self.a_clock.thawed.set()
@@ -112,7 +112,7 @@
         self.assertEqual(fencing, sorted(set(fencing)))
         self.assertGreater(len(leases), 2)
 
-    async def test_a_lost_answer_is_settled_by_reading_back(self):
+    async def test_a_lost_response_is_resolved_by_reading_back(self):
         self.table.lose_answers = 1
         lease = await self.take(self.a)
         self.assertEqual(lease.fencing, 1)
