--- a/goldcrestmoor/client/notes.py
+++ b/goldcrestmoor/client/notes.py
@@ -9,7 +9,7 @@
     HostRing,
     checked,
     make_transport,
-    not_run,
+    was_not_run,
 )
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
@@ -32,7 +32,7 @@
     UNKNOWN = "unknown"
 
 
-class Saved(msgspec.Struct, frozen=True):
+class SaveResult(msgspec.Struct, frozen=True):
     """The fate of a note.
 
     :param outcome: whether it was saved.
@@ -76,10 +76,10 @@
         :param body: the note, as bytes.
         :param timeout_ms: how long to try, in milliseconds.
         :param headers: further ``(name, value)`` pairs of bytes.
-        :return: what became of it, as :class:`Saved`.
+        :return: what became of it, as :class:`SaveResult`.
         """
         deadline = Deadline.after(self._clock, timeout_ms)
-        key = await self._mint(deadline)
+        key = await self._mint_key(deadline)
         headers = [(KEY_HEADER, key.encode()), *headers]
         backoff = Backoff(BACKOFF_MIN_MS, BACKOFF_MAX_MS)
         unknown = False
@@ -89,19 +89,19 @@
                 response = await self._transport.post(
                     self._hosts.current, path, body, attempt_ms, headers
                 )
-                return Saved(Outcome.SAVED, key, checked(response))
+                return SaveResult(Outcome.SAVED, key, checked(response))
             except ServiceError as e:
                 # Once an attempt's fate is unknown, a later attempt that was not
                 # run says nothing of the earlier one.
-                unknown = unknown or not not_run(e)
+                unknown = unknown or not was_not_run(e)
                 if deadline.passed() or _is_final(e):
                     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_SAVED
-                    return Saved(outcome, key, reason=str(e))
-                pause_ms = max(backoff.next_ms(), _wanted_pause_ms(e))
-            self._hosts.move_on()
+                    return SaveResult(outcome, key, reason=str(e))
+                pause_ms = max(backoff.next_ms(), _requested_pause_ms(e))
+            self._hosts.advance()
             await self._clock.sleep_ms(min(pause_ms, deadline.remaining_ms()))
 
-    async def _mint(self, deadline):
+    async def _mint_key(self, deadline):
         for _ in range(len(self._hosts)):
             timeout_ms = min(MINT_TIMEOUT_MS, deadline.remaining_ms())
             if timeout_ms <= 0:
@@ -113,7 +113,7 @@
                 return msgspec.json.decode(checked(response), type=KeyAnswer).key
             except (ServiceError, msgspec.MsgspecError) as e:
                 log.info("Host %s minted no key: %s", self._hosts.current, e)
-                self._hosts.move_on()
+                self._hosts.advance()
         return new_id()
 
 
@@ -130,5 +130,5 @@
     )
 
 
-def _wanted_pause_ms(error):
+def _requested_pause_ms(error):
     return error.retry_after_ms if error.kind == ErrorKind.IN_PROGRESS else 0
--- a/goldcrestmoor/client/trainer.py
+++ b/goldcrestmoor/client/trainer.py
@@ -24,7 +24,7 @@
 BACKOFF_MIN_MS = 50
 BACKOFF_MAX_MS = 2000
 DEFAULT_DEADLINE_MS = 3_600_000
-_RESUBMIT = (ErrorKind.STEP_UNKNOWN, ErrorKind.PLATFORM_UNAVAILABLE)
+_RESUBMIT_KINDS = (ErrorKind.STEP_UNKNOWN, ErrorKind.PLATFORM_UNAVAILABLE)
 
 
 class Step:
@@ -50,11 +50,13 @@
         slots_by_group = {}
         for slot in self.sample_by_slot:
             slots_by_group.setdefault(slot.group, []).append(slot)
-        whole = {
+        complete_groups = {
             g for g, s in slots_by_group.items() if len(s) == self._size_by_group[g]
         }
-        single = (s for s in sorted(self.sample_by_slot) if s.group not in whole)
-        return tuple(sorted(whole)), tuple(single)
+        other_slots = (
+            s for s in sorted(self.sample_by_slot) if s.group not in complete_groups
+        )
+        return tuple(sorted(complete_groups)), tuple(other_slots)
 
     def wants(self, slot):
         """Tell whether a slot is the step's and lacks a sample."""
@@ -104,7 +106,7 @@
         # while no host can be told.
         self.version = max(self.version, version)
         body = PublishBody(model, version)
-        await self._ask("/v1/versions", body, self._deadline(timeout_ms))
+        await self._post_with_retries("/v1/versions", body, self._deadline(timeout_ms))
 
     async def submit(self, step, model, groups, timeout_ms, deadline_ms=None):
         """Submit a step; a repeat of the same step is harmless.
@@ -149,16 +151,18 @@
         try:
             answer = await self._pull(step, wait_ms, deadline)
         except ServiceError as e:
-            if e.kind not in _RESUBMIT:
+            if e.kind not in _RESUBMIT_KINDS:
                 raise
             log.info("Step %s is submitted again: %s", step.body.step, e)
             await self._submit(step.body, deadline)
             return []
         finally:
             self.idle_ms += self._clock.now_ms() - started_ms
-        return [sample for sample in answer.samples if self._take(step, sample)]
+        return [
+            sample for sample in answer.samples if self._accept_sample(step, sample)
+        ]
 
-    def _take(self, step, sample):
+    def _accept_sample(self, step, sample):
         if not step.wants(sample.slot):
             self.dropped_held += 1
             return False
@@ -175,8 +179,8 @@
         groups, slots = step.held()
         body = PullBody(self.version, slots, groups, wait_ms)
         path = f"/v1/steps/{step.body.step}/pull"
-        data = await self._ask(
-            path, body, deadline, wait_ms + TIMEOUT_MARGIN_MS, _RESUBMIT
+        data = await self._post_with_retries(
+            path, body, deadline, wait_ms + TIMEOUT_MARGIN_MS, _RESUBMIT_KINDS
         )
         try:
             return msgspec.json.decode(data, type=PullAnswer)
@@ -192,13 +196,13 @@
             log.info("Step %s was not acknowledged: %s", step.body.step, e)
 
     async def _submit(self, body, deadline):
-        await self._ask("/v1/steps", body, deadline)
+        await self._post_with_retries("/v1/steps", body, deadline)
 
     def _deadline(self, timeout_ms):
         return Deadline.after(self._clock, timeout_ms)
 
-    async def _ask(
-        self, path, body, deadline, timeout_ms=REQUEST_TIMEOUT_MS, stops_on=()
+    async def _post_with_retries(
+        self, path, body, deadline, timeout_ms=REQUEST_TIMEOUT_MS, raise_on=()
     ):
         # Every request of a trainer is idempotent, so that it may be sent again
         # through another host whatever became of it.
@@ -212,17 +216,17 @@
                 )
                 return checked(response)
             except ServiceError as e:
-                if e.kind in stops_on or _is_final(e):
+                if e.kind in raise_on or _is_final(e):
                     raise
                 if deadline.passed():
                     raise
                 log.info("Host %s failed: %s", self._hosts.current, e)
-            self._hosts.move_on()
+            self._hosts.advance()
             pause_ms = min(backoff.next_ms(), deadline.remaining_ms())
             await self._clock.sleep_ms(pause_ms)
 
 
 def _is_final(error):
     # A submission whose outcome is unknown is settled by repeating it.
-    unsettled = error.kind == ErrorKind.OUTCOME_UNKNOWN
-    return error.answer.retry == Retry.NEVER and not unsettled
+    outcome_unknown = error.kind == ErrorKind.OUTCOME_UNKNOWN
+    return error.answer.retry == Retry.NEVER and not outcome_unknown
--- a/goldcrestmoor/client/transport.py
+++ b/goldcrestmoor/client/transport.py
@@ -7,10 +7,10 @@
 from goldcrestmoor.errors import ErrorBody, ErrorKind, Ran, ServiceError
 
 DEFAULT_HTTP_PORT = 80
-ERROR_STATUS = 400
+MIN_ERROR_STATUS = 400
 
 
-class Answered(ServiceError):
+class HostError(ServiceError):
     """An error that a host answered, with what it said about the request.
 
     :param body: the :class:`~goldcrestmoor.errors.ErrorBody`.
@@ -47,7 +47,7 @@
         """
         parts = urllib.parse.urlsplit(url)
         port = parts.port or DEFAULT_HTTP_PORT
-        sent = [
+        all_headers = [
             (b"host", parts.netloc.encode()),
             (b"authorization", b"Bearer " + self._token.encode()),
             (b"content-type", b"application/json"),
@@ -55,7 +55,7 @@
             *headers,
         ]
         return await self._http.request(
-            parts.hostname, port, "POST", path, sent, body, timeout_ms
+            parts.hostname, port, "POST", path, all_headers, body, timeout_ms
         )
 
 
@@ -75,25 +75,25 @@
     """Return a response's body, or raise the error that it holds.
 
     :param response: an ``HttpResponse``.
-    :raises Answered: when the response is an error of the service.
+    :raises HostError: when the response is an error of the service.
     :raises ServiceError: ``UPSTREAM_FAILED`` when it is some other error.
     """
-    if response.status < ERROR_STATUS:
+    if response.status < MIN_ERROR_STATUS:
         return response.body
     try:
         body = msgspec.json.decode(response.body, type=ErrorBody)
     except msgspec.MsgspecError as e:
         text = f"The host answered {response.status} with no known error."
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text) from e
-    raise Answered(body)
+    raise HostError(body)
 
 
-def not_run(error):
+def was_not_run(error):
     """Tell whether an error says that the request was surely not run.
 
     :param error: a :class:`~goldcrestmoor.errors.ServiceError`.
     """
-    ran = error.ran if isinstance(error, Answered) else error.answer.ran
+    ran = error.ran if isinstance(error, HostError) else error.answer.ran
     return ran == Ran.NOT_RUN
 
 
@@ -119,6 +119,6 @@
         """The host to ask now."""
         return self._urls[self._index % len(self._urls)]
 
-    def move_on(self):
+    def advance(self):
         """Ask the next host from now on."""
         self._index += 1
--- a/test/test_trainer_client.py
+++ b/test/test_trainer_client.py
@@ -36,7 +36,7 @@
         self.published.append((model, version, account))
 
 
-class FleetHttp:
+class FakeFleetHttpClient:
     """An HttpClient whose ports lead to the hosts of a fake fleet."""
 
     def __init__(self, fleet):
@@ -44,11 +44,11 @@
         self.weights = FakeWeights()
         self.hosts = list(fleet.host_by_id.values())
         self.faults = []
-        self.asked = []
+        self.requests = []
         self._app_by_port = {}
 
     async def request(self, address, port, method, target, headers, body, timeout_ms):
-        self.asked.append((port, target))
+        self.requests.append((port, target))
         fault = self.faults.pop(0) if self.faults else None
         if fault == "before":
             raise ServiceError(ErrorKind.UPSTREAM_UNREACHABLE)
@@ -89,7 +89,7 @@
     async def asyncSetUp(self):
         self.fleet = FakeFleet("a", "b")
         self.addAsyncCleanup(self.fleet.close)
-        self.http = FleetHttp(self.fleet)
+        self.http = FakeFleetHttpClient(self.fleet)
 
     def make_client(self, token="secret", bound=1):
         urls = ["http://127.0.0.1:1", "http://127.0.0.1:2"]
@@ -99,38 +99,38 @@
         client.version = 1
         return await client.submit("s1", "lm", GROUPS, 30_000)
 
-    async def test_a_step_comes_whole(self):
+    async def test_a_step_is_collected_completely(self):
         client = self.make_client()
         step = await self.submit(client)
         got = await client.collect(step, 30_000)
         self.assertEqual(set(got), set(make_spec().slots()))
         self.assertEqual(client.dropped_held, 0)
 
-    async def test_lost_answers_double_nothing(self):
+    async def test_lost_responses_cause_no_duplicates(self):
         client = self.make_client()
         self.http.faults = ["before", "after"]
         step = await self.submit(client)
         self.http.faults = ["after", "before", "after"]
         got = await client.collect(step, 30_000)
         self.assertEqual(len(got), 6)
-        self.assertEqual({port for port, _ in self.http.asked}, {1, 2})
+        self.assertEqual({port for port, _ in self.http.requests}, {1, 2})
 
-    async def test_a_forgotten_step_is_submitted_again(self):
+    async def test_an_unknown_step_is_resubmitted(self):
         client = self.make_client()
         step = await self.submit(client)
         await self.fleet.host_by_id["a"].front.cancel("tuner", "s1")
         got = await client.collect(step, 30_000)
         self.assertEqual(len(got), 6)
 
-    async def test_what_came_too_late_or_twice_is_dropped(self):
+    async def test_stale_and_duplicate_samples_are_dropped(self):
         client = self.make_client()
         step = await self.submit(client)
         got, answered = await self.fleet.host_by_id["a"].collect("s1")
-        self.assertTrue(client._take(step, answered[0]))
-        self.assertFalse(client._take(step, answered[0]))
+        self.assertTrue(client._accept_sample(step, answered[0]))
+        self.assertFalse(client._accept_sample(step, answered[0]))
         # The version moves on between the service's check and the answer.
         client.version = 3
-        self.assertFalse(client._take(step, answered[1]))
+        self.assertFalse(client._accept_sample(step, answered[1]))
         self.assertEqual((client.dropped_held, client.dropped_stale), (1, 1))
 
     async def test_versions_are_published(self):
@@ -145,10 +145,10 @@
         _, answered = await self.fleet.host_by_id["a"].collect("s1")
         for sample in answered:
             if sample.slot.group == 0 or sample.slot.index == 1:
-                client._take(step, sample)
+                client._accept_sample(step, sample)
         self.assertEqual(step.held(), ((0,), (Slot(1, 1),)))
 
-    async def test_bad_input_and_bad_tokens_are_refused(self):
+    async def test_bad_input_and_bad_tokens_are_rejected(self):
         client = await self.http._client(1)
         cases = (
             ("Bearer secret", b"{", 400),
@@ -163,7 +163,7 @@
             )
             self.assertEqual(response.status, status, body)
 
-    async def test_a_pool_of_others_is_refused(self):
+    async def test_another_accounts_pool_is_rejected(self):
         client = self.make_client()
         with self.assertRaises(ServiceError) as caught:
             await client.submit("s1", "other", GROUPS, 30_000)
@@ -189,7 +189,7 @@
 SAVED = HttpAnswer(201, [], b"saved")
 
 
-def refusal(kind, ran=None):
+def rejection(kind, ran=None):
     body = to_body(ServiceError(kind, "no", 1))
     if ran is not None:
         body = msgspec.structs.replace(body, ran=ran)
@@ -211,32 +211,32 @@
         self.assertEqual((saved.outcome, saved.body), (Outcome.SAVED, b"saved"))
         self.assertEqual(self.keys_sent(), {b"k1"})
 
-    async def test_a_lost_answer_repeats_the_same_key_elsewhere(self):
+    async def test_a_lost_response_is_retried_on_another_host_with_the_same_key(self):
         lost = ServiceError(ErrorKind.UPSTREAM_TIMEOUT)
-        saved = await self.save(KEY, lost, refusal(ErrorKind.IN_PROGRESS), SAVED)
+        saved = await self.save(KEY, lost, rejection(ErrorKind.IN_PROGRESS), SAVED)
         self.assertEqual(saved.outcome, Outcome.SAVED)
         self.assertEqual(self.keys_sent(), {b"k1"})
         urls = [sent[0] for sent in self.transport.sent[1:]]
         self.assertEqual(urls, ["http://a", "http://b", "http://a"])
 
-    async def test_not_run_is_said_only_when_every_attempt_was_not_run(self):
-        refused = refusal(ErrorKind.KEY_REUSED)
-        saved = await self.save(KEY, refusal(ErrorKind.NO_UPSTREAM), refused)
+    async def test_not_saved_requires_that_no_attempt_was_run(self):
+        refused = rejection(ErrorKind.KEY_REUSED)
+        saved = await self.save(KEY, rejection(ErrorKind.NO_UPSTREAM), refused)
         self.assertEqual(saved.outcome, Outcome.NOT_SAVED)
         lost = ServiceError(ErrorKind.UPSTREAM_FAILED)
         saved = await self.save(KEY, lost, refused)
         self.assertEqual(saved.outcome, Outcome.UNKNOWN)
 
     async def test_an_unknown_outcome_is_reported(self):
-        saved = await self.save(KEY, refusal(ErrorKind.OUTCOME_UNKNOWN))
+        saved = await self.save(KEY, rejection(ErrorKind.OUTCOME_UNKNOWN))
         self.assertEqual(saved.outcome, Outcome.UNKNOWN)
 
-    async def test_the_hosts_own_word_about_the_run_goes_first(self):
-        answer = refusal(ErrorKind.UPSTREAM_FAILED, Ran.NOT_RUN)
-        saved = await self.save(KEY, answer, refusal(ErrorKind.FORBIDDEN))
+    async def test_the_hosts_report_about_the_run_takes_precedence(self):
+        answer = rejection(ErrorKind.UPSTREAM_FAILED, Ran.NOT_RUN)
+        saved = await self.save(KEY, answer, rejection(ErrorKind.FORBIDDEN))
         self.assertEqual(saved.outcome, Outcome.NOT_SAVED)
 
-    async def test_without_minting_the_caller_chooses_the_key(self):
+    async def test_the_client_generates_the_key_when_minting_fails(self):
         down = ServiceError(ErrorKind.UPSTREAM_UNREACHABLE)
         saved = await self.save(down, down, SAVED)
         self.assertEqual(saved.outcome, Outcome.SAVED)
