--- a/goldcrestmoor/commands/ask.py
+++ b/goldcrestmoor/commands/ask.py
@@ -43,13 +43,13 @@
     try:
         answer = _decode(status, body)
     except msgspec.MsgspecError:
-        raise _lost(text) from None
+        raise _connection_lost(text) from None
     _print(answer, json)
     match answer:
         case ErrorBody(code=code, message=message):
-            raise _failure(code, message)
+            raise _user_error(code, message)
         case Outcome(outcome=outcome, code=ErrorKind() as code, message=message):
-            raise _failure(code, _sentence(outcome, message))
+            raise _user_error(code, _format_outcome(outcome, message))
 
 
 def _read_text(text, file):
@@ -76,7 +76,7 @@
         response = connection.getresponse()
         return response.status, response.read()
     except (OSError, http.client.HTTPException):
-        raise _lost(text) from None
+        raise _connection_lost(text) from None
     finally:
         connection.close()
 
@@ -94,7 +94,9 @@
     try:
         connection.connect()
     except OSError as e:
-        raise _failure(ErrorKind.PEER_UNREACHABLE, f"Cannot reach {url}: {e}.") from e
+        raise _user_error(
+            ErrorKind.PEER_UNREACHABLE, f"Cannot reach {url}: {e}."
+        ) from e
     connection.sock.settimeout(ANSWER_TIMEOUT_S)
     return connection
 
@@ -114,29 +116,29 @@
         case Table(columns=columns, rows=rows):
             print(tabulate.tabulate(rows, headers=columns, disable_numparse=True))
         case Outcome(outcome=outcome, message=message, code=None):
-            print(_sentence(outcome, message))
+            print(_format_outcome(outcome, message))
 
 
-def _sentence(outcome, message):
+def _format_outcome(outcome, message):
     return message if message.startswith(outcome) else f"{outcome}: {message}"
 
 
-def _lost(text):
-    if _changes_something(text):
-        return _failure(ErrorKind.CONFIG_UNKNOWN, UNKNOWN_TEXT)
-    return _failure(ErrorKind.PEER_UNREACHABLE, "The connection was lost.")
+def _connection_lost(text):
+    if _may_change_configuration(text):
+        return _user_error(ErrorKind.CONFIG_UNKNOWN, UNKNOWN_TEXT)
+    return _user_error(ErrorKind.PEER_UNREACHABLE, "The connection was lost.")
 
 
-def _changes_something(text):
+def _may_change_configuration(text):
     # A host of a newer release may know statements that this one does not, so
     # that a text which cannot be read counts as a change.
     try:
         script = parser.parse(text)
     except ServiceError:
         return True
-    question = (statements.Show, statements.Explain)
-    return not all(isinstance(s, question) for s in script.statements)
+    read_only = (statements.Show, statements.Explain)
+    return not all(isinstance(s, read_only) for s in script.statements)
 
 
-def _failure(kind, message):
+def _user_error(kind, message):
     return UserError(message, ANSWER_BY_KIND[kind].exit_code)
--- a/goldcrestmoor/commands/front.py
+++ b/goldcrestmoor/commands/front.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.errors import UserError
 from goldcrestmoor.process.front import FrontDaemon
 
-PATH_VARIABLE = "GOLDCRESTMOOR_SETTINGS"
+SETTINGS_VARIABLE = "GOLDCRESTMOOR_SETTINGS"
 
 
 def front(path=None):
@@ -17,9 +17,9 @@
     :param path: the settings file, JSON; the one that the environment variable
         ``GOLDCRESTMOOR_SETTINGS`` names when left out.
     """
-    path = path or os.environ.get(PATH_VARIABLE)
+    path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise UserError(f"Name a settings file, or set {PATH_VARIABLE}.")
+        raise UserError(f"Name a settings file, or set {SETTINGS_VARIABLE}.")
     loaded = front_settings.load(path)
     logs.set_up(loaded.log.level, loaded.log.style, sys.stdout)
     tracing.set_up(loaded.host.id, loaded.tracing.exporter)
--- a/goldcrestmoor/commands/replay.py
+++ b/goldcrestmoor/commands/replay.py
@@ -36,19 +36,19 @@
     else:
         print(reports.to_table(report, missed))
     if save:
-        _save(report, save)
+        _save_report(report, save)
     if plot:
-        plots.side_by_side(report, _read(against), plot)
+        plots.side_by_side(report, _read_report(against), plot)
     if missed:
         sys.exit(EXIT_MISSED)
 
 
-def _save(report, path):
+def _save_report(report, path):
     with open(path, "wb") as f:
         f.write(msgspec.json.encode(report))
 
 
-def _read(path):
+def _read_report(path):
     try:
         with open(path, "rb") as f:
             return msgspec.json.decode(f.read(), type=reports.Report)
--- a/test/test_commands.py
+++ b/test/test_commands.py
@@ -36,7 +36,7 @@
         path.write_text(json.dumps(document))
         return str(path)
 
-    def test_the_version_is_told(self):
+    def test_version_is_printed(self):
         code, output, _ = run("--version")
         self.assertEqual((code, output.split()[1]), (0, goldcrestmoor.__version__))
 
@@ -46,7 +46,7 @@
         for name in COMMAND_BY_NAME:
             self.assertIn(name, output + error)
 
-    def test_good_settings_are_called_good(self):
+    def test_valid_settings_are_accepted(self):
         code, output, _ = run("check", self.write(_common.settings_document()))
         self.assertEqual(code, 0)
         self.assertIn("host-a1", output)
@@ -70,14 +70,14 @@
         token_hash = made["security"]["operator_token_hash"]
         self.assertEqual(util.hash_token(made["operator_token"]), token_hash)
 
-    def test_asking_a_host_that_is_not_there_says_so(self):
+    def test_asking_an_unreachable_host_reports_an_error(self):
         url = f"http://127.0.0.1:{_common.free_port()}"
         code, _, error = run("ask", "SHOW HOSTS", "--url", url, "--token", "x")
         self.assertNotEqual(code, 0)
         self.assertIn("goldcrestmoor:", error)
         self.assertNotIn("Traceback", error)
 
-    def test_a_trace_that_is_none_is_refused(self):
+    def test_an_invalid_trace_is_rejected(self):
         path = self.write({"no": "trace"})
         code, _, error = run("replay", path, "--fleet", path)
         self.assertEqual(code, 2)
