--- a/goldcrestmoor/logs.py
+++ b/goldcrestmoor/logs.py
@@ -18,9 +18,9 @@
 ROOT = "goldcrestmoor"
 
 # Lines of one kind in a second; a busy host writes some 30 about its items.
-LINES_PER_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 # Some seconds of a busy host; more is lost when nobody reads.
-QUEUED_LINES = 5_000
+MAX_QUEUED_LINES = 5_000
 
 request_id = contextvars.ContextVar("request_id", default="")
 
@@ -32,45 +32,45 @@
         return True
 
 
-class _VolumeFilter(logging.Filter):
+class _RateLimitFilter(logging.Filter):
     """Let a bounded number of lines of each kind through, and count the rest."""
 
     def __init__(self, now_s=time.monotonic):
         super().__init__()
         self._now_s = now_s
-        self._second = 0
+        self._current_second = 0
         self._count_by_kind = {}
-        self._left_out_by_kind = {}
+        self._suppressed_by_kind = {}
 
     def filter(self, record):
         second = int(self._now_s())
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._count_by_kind.clear()
         count = self._count_by_kind.get(record.msg, 0) + 1
         self._count_by_kind[record.msg] = count
-        if count > LINES_PER_SECOND:
-            left_out = self._left_out_by_kind.get(record.msg, 0) + 1
-            self._left_out_by_kind[record.msg] = left_out
+        if count > MAX_LINES_PER_SECOND:
+            left_out = self._suppressed_by_kind.get(record.msg, 0) + 1
+            self._suppressed_by_kind[record.msg] = left_out
             return False
-        record.left_out = self._left_out_by_kind.pop(record.msg, 0)
+        record.left_out = self._suppressed_by_kind.pop(record.msg, 0)
         return True
 
 
-class _BoundedHandler(logging.handlers.QueueHandler):
+class _BoundedQueueHandler(logging.handlers.QueueHandler):
     """Hand lines to the writing thread, or count them when it is too far behind."""
 
     def __init__(self, lines):
         super().__init__(lines)
-        self._lost = 0
+        self._lost_count = 0
 
     def enqueue(self, record):
-        record.lost = self._lost
+        record.lost = self._lost_count
         try:
             self.queue.put_nowait(record)
-            self._lost = 0
+            self._lost_count = 0
         except queue.Full:
-            self._lost += 1
+            self._lost_count += 1
 
     def prepare(self, record):
         # The writing thread formats; only what may change meanwhile is taken here.
@@ -80,7 +80,7 @@
         return record
 
 
-def _losses(record):
+def _loss_counts(record):
     """Return what is to be said of lines that were not written."""
     left_out, lost = getattr(record, "left_out", 0), getattr(record, "lost", 0)
     return {
@@ -93,7 +93,7 @@
         suffix = f" [{record.request_id}]" if record.request_id else ""
         line = f"{self.formatTime(record)} {record.levelname.lower()} "
         line += f"{record.part}: {record.getMessage()}{suffix}"
-        for name, count in _losses(record).items():
+        for name, count in _loss_counts(record).items():
             line += f" ({count} {name.replace('_', ' ')})"
         if record.exc_info:
             line += "\n" + self.formatException(record.exc_info)
@@ -107,7 +107,7 @@
             "level": record.levelname.lower(),
             "part": record.part,
             "message": record.getMessage(),
-            **_losses(record),
+            **_loss_counts(record),
         }
         if record.request_id:
             fields["request_id"] = record.request_id
@@ -125,9 +125,9 @@
     """
     writer = logging.StreamHandler(stream or sys.stderr)
     writer.setFormatter(_JsonFormatter() if style == "json" else _TextFormatter())
-    lines = queue.Queue(QUEUED_LINES)
-    handler = _BoundedHandler(lines)
-    handler.addFilter(_VolumeFilter())
+    lines = queue.Queue(MAX_QUEUED_LINES)
+    handler = _BoundedQueueHandler(lines)
+    handler.addFilter(_RateLimitFilter())
     handler.addFilter(_ContextFilter())
     listener = logging.handlers.QueueListener(lines, writer)
     listener.start()
--- a/goldcrestmoor/tracing.py
+++ b/goldcrestmoor/tracing.py
@@ -9,7 +9,7 @@
 
 _TRACEPARENT = "traceparent"
 _tracer = trace.get_tracer("goldcrestmoor")
-_ids = RandomIdGenerator()
+_id_generator = RandomIdGenerator()
 _is_exporting = False
 
 
@@ -40,7 +40,7 @@
     """
     context = propagate.extract({_TRACEPARENT: parent}) if parent else None
     if not _is_exporting:
-        with _carried(context) as current:
+        with _propagated_context(context) as current:
             yield current
         return
     with _tracer.start_as_current_span(
@@ -72,7 +72,7 @@
 
 
 @contextlib.contextmanager
-def _carried(context):
+def _propagated_context(context):
     """Carry the trace's context on, or start one, where no span is exported.
 
     :param context: the caller's context, or None.
@@ -81,8 +81,8 @@
     if not current.get_span_context().is_valid:
         current = trace.NonRecordingSpan(
             trace.SpanContext(
-                _ids.generate_trace_id(),
-                _ids.generate_span_id(),
+                _id_generator.generate_trace_id(),
+                _id_generator.generate_span_id(),
                 is_remote=False,
                 trace_flags=trace.TraceFlags(trace.TraceFlags.SAMPLED),
             )
--- a/goldcrestmoor/util.py
+++ b/goldcrestmoor/util.py
@@ -15,7 +15,7 @@
 # Two processes never draw the same identifier.
 ID_BYTES = 12
 # A part that fails at each start must not take the whole processor.
-RESTART_MS = 100
+RESTART_DELAY_MS = 100
 
 
 def new_id():
@@ -91,10 +91,10 @@
         """
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
         self._tasks.add(task)
-        task.add_done_callback(self._finish)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _finish(self, task):
+    def _on_done(self, task):
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("Task %s failed.", task.get_name(), exc_info=task.exception())
@@ -121,7 +121,7 @@
             await run()
         except Exception:
             log.exception("Part %s failed and is started again.", name)
-        await clock.sleep_ms(RESTART_MS)
+        await clock.sleep_ms(RESTART_DELAY_MS)
 
 
 class Backoff:
--- a/test/_common.py
+++ b/test/_common.py
@@ -20,7 +20,7 @@
     int, os.environ.get(PORTS_VARIABLE, "10000-32000").split("-")
 )
 
-_numbers = itertools.count(random.randrange(LAST_PORT - FIRST_PORT))
+_port_offsets = itertools.count(random.randrange(LAST_PORT - FIRST_PORT))
 OPERATOR_TOKEN = "operator-token"
 
 FLEET_PUBLIC_KEY, FLEET_SECRET_KEY = (key.decode() for key in zmq.curve_keypair())
@@ -33,7 +33,7 @@
     take it before its server does, and none that was returned lately.
     """
     while True:
-        port = FIRST_PORT + next(_numbers) % (LAST_PORT - FIRST_PORT)
+        port = FIRST_PORT + next(_port_offsets) % (LAST_PORT - FIRST_PORT)
         with socket.socket() as s, contextlib.suppress(OSError):
             s.bind((address, port))
             return port
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -38,20 +38,23 @@
 
 
 class SettingsPageTest(unittest.TestCase):
-    def named_on(self, page):
+    def settings_named_on(self, page):
         text = (DOCS / page).read_text()
         return set(re.findall(r"``([a-z]+\.[a-z_]+)``", text))
 
     def test_the_page_names_every_setting_and_no_other(self):
         self.assertEqual(
-            self.named_on("settings.rst"), set(setting_names(settings.Settings))
+            self.settings_named_on("settings.rst"),
+            set(setting_names(settings.Settings)),
         )
 
     def test_the_platforms_page_names_every_setting_and_no_other(self):
         names = set(setting_names(front_settings.FrontSettings))
         own = {n for n in names if n.partition(".")[0] not in SHARED_SECTIONS}
         # The page names one shared setting, which a reload puts in force.
-        self.assertEqual(self.named_on("front-settings.rst"), own | {"log.level"})
+        self.assertEqual(
+            self.settings_named_on("front-settings.rst"), own | {"log.level"}
+        )
 
 
 def setting_names(document):
--- a/test/test_log_volume.py
+++ b/test/test_log_volume.py
@@ -32,20 +32,20 @@
             self.log.info("Item %d is done.", number)
         self.log.info("Another kind is not held back.")
         lines = self.wait_for(stream, "Another kind")
-        self.assertLessEqual(len(lines), 2 * logs.LINES_PER_SECOND + 1)
+        self.assertLessEqual(len(lines), 2 * logs.MAX_LINES_PER_SECOND + 1)
         time.sleep(1.1)
         self.log.info("Item %d is done.", 1000)
         last = json.loads(self.wait_for(stream, "Item 1000 is")[-1])
-        self.assertGreaterEqual(last["left_out"], 1000 - 2 * logs.LINES_PER_SECOND)
+        self.assertGreaterEqual(last["left_out"], 1000 - 2 * logs.MAX_LINES_PER_SECOND)
 
-    def test_a_reader_that_stalls_never_stalls_the_writer(self):
+    def test_a_stalled_reader_does_not_block_the_writer(self):
         reading, writing = os.pipe()
         stream = os.fdopen(writing, "w")
         logs.set_up("info", "text", stream)
         done = threading.Event()
 
         def write():
-            for number in range(3 * logs.QUEUED_LINES):
+            for number in range(3 * logs.MAX_QUEUED_LINES):
                 self.log.info(f"Line {number} {'x' * 100}")
             done.set()
 
--- a/test/test_tracing.py
+++ b/test/test_tracing.py
@@ -8,7 +8,7 @@
 PARENT = f"00-{TRACE_ID}-b7ad6b7169203331-01"
 
 
-class CarriedContextTest(unittest.TestCase):
+class ContextPropagationTest(unittest.TestCase):
     def setUp(self):
         tracing.set_up("host-1", "none")
 
--- a/test/test_wire.py
+++ b/test/test_wire.py
@@ -12,10 +12,10 @@
 
 
 class WireTest(unittest.TestCase):
-    def test_a_message_comes_back_as_it_was(self):
+    def test_a_message_survives_a_round_trip(self):
         self.assertEqual(wire.decode(*wire.encode(Echo("a", 2))), Echo("a", 2))
 
-    def test_bad_frames_are_refused(self):
+    def test_bad_frames_are_rejected(self):
         for name, body in ((b"Nothing", b""), (b"Echo", b"\xc1"), (b"\xff", b"")):
             with self.assertRaises(ServiceError) as caught:
                 wire.decode(name, body)
