--- a/goldcrestmoor/client/__init__.py
+++ b/goldcrestmoor/client/__init__.py
@@ -1,1 +1,1 @@
-"""Libraries for callers: trainers and applications."""
+"""Client libraries for callers: trainers and applications."""
--- a/goldcrestmoor/client/notes.py
+++ b/goldcrestmoor/client/notes.py
@@ -1,4 +1,4 @@
-"""The applications' client: a note is saved at most once."""
+"""Client library for applications: saves each note at most once."""
 
 import enum
 import logging
@@ -25,7 +25,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a note."""
+    """The outcome of saving a note."""
 
     SAVED = "saved"
     NOT_SAVED = "not saved"
@@ -33,12 +33,12 @@
 
 
 class SaveResult(msgspec.Struct, frozen=True):
-    """The fate of a note.
+    """The result of :meth:`NotesClient.save`.
 
-    :param outcome: whether it was saved.
-    :param key: the key that it was sent with.
-    :param body: the application's answer, when it was saved.
-    :param reason: why it was not, or why that is not known.
+    :param outcome: whether the note was saved.
+    :param key: the idempotency key that the note was sent with.
+    :param body: the application's response, when the note was saved.
+    :param reason: why the note was not saved, or why the outcome is unknown.
     """
 
     outcome: Outcome
@@ -48,18 +48,18 @@
 
 
 class KeyAnswer(msgspec.Struct, frozen=True):
-    """The answer to ``POST /v1/keys``."""
+    """The response to ``POST /v1/keys``."""
 
     key: str
 
 
 class NotesClient:
-    """Save notes through any host, each at most once.
+    """Saves notes through any host, each at most once.
 
-    :param urls: the hosts, such as ``["http://127.0.0.1:8080"]``.
-    :param token: the application account's token.
-    :param transport: sends the requests; made from the token when left out.
-    :param clock: the clock.
+    :param urls: the hosts' base URLs, such as ``["http://127.0.0.1:8080"]``.
+    :param token: the token of the application's client account.
+    :param transport: sends the requests; by default created from the token.
+    :param clock: the clock; by default a new :class:`~goldcrestmoor.clock.Clock`.
     """
 
     __slots__ = ("_hosts", "_transport", "_clock")
@@ -72,11 +72,11 @@
     async def save(self, path, body, timeout_ms, headers=()):
         """Save one note.
 
-        :param path: the note's target, such as ``/apps/fit-desk/notes``.
+        :param path: the request target, such as ``/apps/fit-desk/notes``.
         :param body: the note, as bytes.
-        :param timeout_ms: how long to try, in milliseconds.
-        :param headers: further ``(name, value)`` pairs of bytes.
-        :return: what became of it, as :class:`SaveResult`.
+        :param timeout_ms: the total time for all attempts, in milliseconds.
+        :param headers: additional ``(name, value)`` pairs of bytes.
+        :return: the outcome, as :class:`SaveResult`.
         """
         deadline = Deadline.after(self._clock, timeout_ms)
         key = await self._mint_key(deadline)
@@ -91,8 +91,8 @@
                 )
                 return SaveResult(Outcome.SAVED, key, checked(response))
             except ServiceError as e:
-                # Once an attempt's fate is unknown, a later attempt that was not
-                # run says nothing of the earlier one.
+                # Once the outcome of an attempt is unknown, a later attempt that was
+                # not run does not show whether the earlier one ran.
                 unknown = unknown or not was_not_run(e)
                 if deadline.passed() or _is_final(e):
                     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_SAVED
@@ -112,7 +112,7 @@
                 )
                 return msgspec.json.decode(checked(response), type=KeyAnswer).key
             except (ServiceError, msgspec.MsgspecError) as e:
-                log.info("Host %s minted no key: %s", self._hosts.current, e)
+                log.info("Host %s failed to mint a key: %s", self._hosts.current, e)
                 self._hosts.advance()
         return new_id()
 
--- a/goldcrestmoor/client/trainer.py
+++ b/goldcrestmoor/client/trainer.py
@@ -1,4 +1,4 @@
-"""The trainers' client: every sample of a step, each taken once."""
+"""Client library for trainers: collects every sample of a step exactly once."""
 
 import logging
 
@@ -28,9 +28,9 @@
 
 
 class Step:
-    """A step at its trainer: what was submitted and what has come in.
+    """The trainer's state of a step: the submission and the samples received.
 
-    :param body: the submission.
+    :param body: the submission, as ``SubmitBody``.
     """
 
     __slots__ = ("body", "sample_by_slot", "staleness_by_slot", "_size_by_group")
@@ -42,11 +42,11 @@
         self._size_by_group = {group.index: group.samples for group in body.groups}
 
     def complete(self):
-        """Tell whether every slot has its sample."""
+        """Return whether every slot has a sample."""
         return len(self.sample_by_slot) == sum(self._size_by_group.values())
 
     def held(self):
-        """Return the groups held whole and the further slots held."""
+        """Return the indexes of complete groups and the other slots with a sample."""
         slots_by_group = {}
         for slot in self.sample_by_slot:
             slots_by_group.setdefault(slot.group, []).append(slot)
@@ -59,19 +59,20 @@
         return tuple(sorted(complete_groups)), tuple(other_slots)
 
     def wants(self, slot):
-        """Tell whether a slot is the step's and lacks a sample."""
+        """Return whether a slot belongs to the step and has no sample yet."""
         size = self._size_by_group.get(slot.group, 0)
         return 0 <= slot.index < size and slot not in self.sample_by_slot
 
 
 class TrainerClient:
-    """Submit steps, collect their samples and publish weights.
-
-    :param urls: the hosts, such as ``["http://127.0.0.1:8080"]``.
-    :param token: the trainer account's token.
-    :param staleness_bound: the most versions that a sample may lag behind.
-    :param transport: sends the requests; made from the token when left out.
-    :param clock: the clock.
+    """Submits steps, collects their samples and publishes weight versions.
+
+    :param urls: the hosts' base URLs, such as ``["http://127.0.0.1:8080"]``.
+    :param token: the token of the trainer's client account.
+    :param staleness_bound: the maximum number of versions that a sample may lag
+        behind the current one.
+    :param transport: sends the requests; by default created from the token.
+    :param clock: the clock; by default a new :class:`~goldcrestmoor.clock.Clock`.
     """
 
     __slots__ = (
@@ -96,26 +97,26 @@
         self._clock = clock or Clock()
 
     async def publish(self, model, version, timeout_ms=REQUEST_TIMEOUT_MS):
-        """Publish a new weight version and go on from it.
+        """Publish a new weight version and make it the client's current version.
 
-        :param model: the model.
-        :param version: the new version.
-        :param timeout_ms: how long to try, in milliseconds.
+        :param model: the model's name.
+        :param version: the new weight version.
+        :param timeout_ms: the total time for all attempts, in milliseconds.
         """
-        # The trainer has the new weights already: samples are judged by them even
-        # while no host can be told.
+        # The trainer already has the new weights, so the staleness of samples is
+        # measured against them even while no host can be reached.
         self.version = max(self.version, version)
         body = PublishBody(model, version)
         await self._post_with_retries("/v1/versions", body, self._deadline(timeout_ms))
 
     async def submit(self, step, model, groups, timeout_ms, deadline_ms=None):
-        """Submit a step; a repeat of the same step is harmless.
+        """Submit a step; submitting the same step again is idempotent.
 
         :param step: the step's name.
-        :param model: the pool whose engines make the samples.
+        :param model: the pool whose engines generate the samples.
         :param groups: the groups, as ``GroupBody`` of the routes.
-        :param timeout_ms: how long to try, in milliseconds.
-        :param deadline_ms: how long the service works on it, in milliseconds.
+        :param timeout_ms: the total time for all attempts, in milliseconds.
+        :param deadline_ms: how long the service works on the step, in milliseconds.
         :return: the :class:`Step`.
         """
         deadline_ms = deadline_ms or DEFAULT_DEADLINE_MS
@@ -124,27 +125,30 @@
         return Step(body)
 
     async def collect(self, step, timeout_ms):
-        """Pull until the step is whole.
+        """Pull samples until every slot of the step has one.
 
         :param step: the :class:`Step`.
-        :param timeout_ms: how long to try, in milliseconds.
+        :param timeout_ms: the total time for all pulls, in milliseconds.
         :return: the samples by slot.
-        :raises ServiceError: the last error, when time is up.
+        :raises ServiceError: when time is up, or on an error that is not retried.
         """
         deadline = self._deadline(timeout_ms)
         while not step.complete():
             if deadline.passed():
-                raise ServiceError(ErrorKind.QUEUE_TIMEOUT, "The step is not whole.")
+                raise ServiceError(
+                    ErrorKind.QUEUE_TIMEOUT,
+                    "The step is incomplete: some slots have no sample.",
+                )
             await self.pull(step, deadline)
         await self._acknowledge(step)
         return step.sample_by_slot
 
     async def pull(self, step, deadline):
-        """Pull once and take in what comes.
+        """Pull once and store the samples that are accepted.
 
         :param step: the :class:`Step`.
-        :param deadline: until when to try.
-        :return: the samples that were taken.
+        :param deadline: the :class:`~goldcrestmoor.clock.Deadline` for all attempts.
+        :return: the accepted samples.
         """
         started_ms = self._clock.now_ms()
         wait_ms = min(PULL_WAIT_MS, deadline.remaining_ms())
@@ -153,7 +157,7 @@
         except ServiceError as e:
             if e.kind not in _RESUBMIT_KINDS:
                 raise
-            log.info("Step %s is submitted again: %s", step.body.step, e)
+            log.info("Step %s will be resubmitted: %s", step.body.step, e)
             await self._submit(step.body, deadline)
             return []
         finally:
@@ -168,7 +172,7 @@
             return False
         lag = self.version - oldest_version(sample)
         if lag > self._staleness_bound:
-            # The version may have moved on while the answer was on its way.
+            # The version may have advanced while the response was in transit.
             self.dropped_stale += 1
             return False
         step.sample_by_slot[sample.slot] = sample
@@ -185,11 +189,13 @@
         try:
             return msgspec.json.decode(data, type=PullAnswer)
         except msgspec.MsgspecError as e:
-            raise ServiceError(ErrorKind.UPSTREAM_FAILED, "Bad answer.") from e
+            raise ServiceError(
+                ErrorKind.UPSTREAM_FAILED, "Malformed response to a pull request."
+            ) from e
 
     async def _acknowledge(self, step):
-        # The last pull names every slot, so that the service may forget the step;
-        # when it fails, the step's deadline does the same.
+        # The last pull lists every slot as held, so that the service can delete the
+        # step. If that pull fails, the service deletes the step at its deadline.
         try:
             await self._pull(step, 0, self._deadline(TIMEOUT_MARGIN_MS))
         except ServiceError as e:
@@ -204,8 +210,8 @@
     async def _post_with_retries(
         self, path, body, deadline, timeout_ms=REQUEST_TIMEOUT_MS, raise_on=()
     ):
-        # Every request of a trainer is idempotent, so that it may be sent again
-        # through another host whatever became of it.
+        # Every trainer request is idempotent, so it can be retried through another
+        # host even when the outcome of the last attempt is unknown.
         data = msgspec.json.encode(body)
         backoff = Backoff(BACKOFF_MIN_MS, BACKOFF_MAX_MS)
         while True:
@@ -220,13 +226,15 @@
                     raise
                 if deadline.passed():
                     raise
-                log.info("Host %s failed: %s", self._hosts.current, e)
+                log.info(
+                    "Request to host %s failed; retrying: %s", self._hosts.current, e
+                )
             self._hosts.advance()
             pause_ms = min(backoff.next_ms(), deadline.remaining_ms())
             await self._clock.sleep_ms(pause_ms)
 
 
 def _is_final(error):
-    # A submission whose outcome is unknown is settled by repeating it.
+    # Retrying resolves a submission whose outcome is unknown: it is idempotent.
     outcome_unknown = error.kind == ErrorKind.OUTCOME_UNKNOWN
     return error.answer.retry == Retry.NEVER and not outcome_unknown
--- a/goldcrestmoor/client/transport.py
+++ b/goldcrestmoor/client/transport.py
@@ -1,4 +1,4 @@
-"""How the clients send one request to one host, exactly as often as told."""
+"""HTTP transport of the client libraries; it never retries on its own."""
 
 import urllib.parse
 
@@ -11,7 +11,7 @@
 
 
 class HostError(ServiceError):
-    """An error that a host answered, with what it said about the request.
+    """An error response of a host, with its report whether the request ran.
 
     :param body: the :class:`~goldcrestmoor.errors.ErrorBody`.
     """
@@ -22,10 +22,10 @@
 
 
 class Transport:
-    """Send requests by the project's HTTP client, which never resends.
+    """Sends requests by ``HttpClient``, which never retries a request.
 
-    :param http: an ``HttpClient``.
-    :param token: the account's token.
+    :param http: the ``HttpClient``.
+    :param token: the client account's token.
     """
 
     __slots__ = ("_http", "_token")
@@ -37,13 +37,14 @@
     async def post(self, url, path, body, timeout_ms, headers=()):
         """Send one POST request to one host.
 
-        :param url: the host, such as ``http://127.0.0.1:8080``.
-        :param path: the request's target.
-        :param body: the body, as bytes.
-        :param timeout_ms: how long to wait for the whole answer, in milliseconds.
-        :param headers: further ``(name, value)`` pairs of bytes.
-        :return: the answer's ``HttpResponse``, of any status.
-        :raises ServiceError: what the connection knows about the request's fate.
+        :param url: the host's base URL, such as ``http://127.0.0.1:8080``.
+        :param path: the request target.
+        :param body: the request body, as bytes.
+        :param timeout_ms: the timeout for the complete response, in milliseconds.
+        :param headers: additional ``(name, value)`` pairs of bytes.
+        :return: the ``HttpResponse``, of any status.
+        :raises ServiceError: when no complete response arrives; the kind tells
+            whether the request may have run.
         """
         parts = urllib.parse.urlsplit(url)
         port = parts.port or DEFAULT_HTTP_PORT
@@ -60,9 +61,9 @@
 
 
 def make_transport(token):
-    """Return a transport with a connection pool of its own.
+    """Return a transport with a separate connection pool.
 
-    :param token: the account's token.
+    :param token: the client account's token.
     """
     from goldcrestmoor import settings
     from goldcrestmoor.clock import Clock
@@ -72,24 +73,26 @@
 
 
 def checked(response):
-    """Return a response's body, or raise the error that it holds.
+    """Return the body of a successful response, or raise its error.
 
     :param response: an ``HttpResponse``.
-    :raises HostError: when the response is an error of the service.
-    :raises ServiceError: ``UPSTREAM_FAILED`` when it is some other error.
+    :raises HostError: when the response holds an ``ErrorBody``.
+    :raises ServiceError: ``UPSTREAM_FAILED`` for any other error response.
     """
     if response.status < MIN_ERROR_STATUS:
         return response.body
     try:
         body = msgspec.json.decode(response.body, type=ErrorBody)
     except msgspec.MsgspecError as e:
-        text = f"The host answered {response.status} with no known error."
+        text = (
+            f"The host responded with status {response.status} and no valid error body."
+        )
         raise ServiceError(ErrorKind.UPSTREAM_FAILED, text) from e
     raise HostError(body)
 
 
 def was_not_run(error):
-    """Tell whether an error says that the request was surely not run.
+    """Return whether the error guarantees that the request was not run.
 
     :param error: a :class:`~goldcrestmoor.errors.ServiceError`.
     """
@@ -98,9 +101,9 @@
 
 
 class HostRing:
-    """The hosts that a client may ask, one at a time.
+    """The hosts of a client, used one at a time in round-robin order.
 
-    :param urls: their addresses.
+    :param urls: the hosts' base URLs.
     """
 
     __slots__ = ("_urls", "_index")
@@ -116,9 +119,9 @@
 
     @property
     def current(self):
-        """The host to ask now."""
+        """The base URL of the host for the next request."""
         return self._urls[self._index % len(self._urls)]
 
     def advance(self):
-        """Ask the next host from now on."""
+        """Switch to the next host."""
         self._index += 1
--- a/test/test_trainer_client.py
+++ b/test/test_trainer_client.py
@@ -1,4 +1,4 @@
-"""The clients take each sample once and save each note at most once."""
+"""The client libraries accept each sample once and save each note at most once."""
 
 import collections
 import unittest
@@ -37,7 +37,7 @@
 
 
 class FakeFleetHttpClient:
-    """An HttpClient whose ports lead to the hosts of a fake fleet."""
+    """An HttpClient that maps port numbers to the hosts of a fake fleet."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -128,7 +128,7 @@
         got, answered = await self.fleet.host_by_id["a"].collect("s1")
         self.assertTrue(client._accept_sample(step, answered[0]))
         self.assertFalse(client._accept_sample(step, answered[0]))
-        # The version moves on between the service's check and the answer.
+        # The version advances between the service's staleness check and the response.
         client.version = 3
         self.assertFalse(client._accept_sample(step, answered[1]))
         self.assertEqual((client.dropped_held, client.dropped_stale), (1, 1))
@@ -171,7 +171,7 @@
 
 
 class ScriptedTransport:
-    """Answer each post from a list; keep what was sent."""
+    """Returns scripted responses to POST requests and records the requests."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
