--- a/goldcrestmoor/commands/__init__.py
+++ b/goldcrestmoor/commands/__init__.py
@@ -1,6 +1,6 @@
 """The subcommands of the command line, one file each.
 
-``COMMAND_BY_NAME`` is the one place where they are registered.
+All subcommands are registered in ``COMMAND_BY_NAME``.
 """
 
 from goldcrestmoor.commands.ask import ask
--- a/goldcrestmoor/commands/ask.py
+++ b/goldcrestmoor/commands/ask.py
@@ -1,4 +1,4 @@
-"""``goldcrestmoor ask``: send an operator's text to a host."""
+"""``goldcrestmoor ask``: send an operator's statements to a host."""
 
 import http.client
 import os
@@ -29,13 +29,13 @@
 
 @fire.decorators.SetParseFn(str, "text", "url", "token", "file")
 def ask(text="", url=DEFAULT_URL, token="", json=False, file=""):
-    """Ask a host something, or have it change the configuration.
+    """Send statements to a host, to query its state or change the configuration.
 
-    :param text: the text, such as "SHOW UPSTREAMS".
-    :param url: the host, as http://address:port.
-    :param token: the operators' token; from GOLDCRESTMOOR_TOKEN when left out.
-    :param json: print the answer as JSON, for scripts.
-    :param file: read the text from this file instead.
+    :param text: the statements, such as "SHOW UPSTREAMS".
+    :param url: the host's base URL, as http://address:port.
+    :param token: the operator token; by default read from GOLDCRESTMOOR_TOKEN.
+    :param json: print the response as JSON, for scripts.
+    :param file: read the statements from this file instead.
     """
     text = _read_text(text, file)
     token = token or os.environ.get(TOKEN_VARIABLE, "")
@@ -126,12 +126,15 @@
 def _connection_lost(text):
     if _may_change_configuration(text):
         return _user_error(ErrorKind.CONFIG_UNKNOWN, UNKNOWN_TEXT)
-    return _user_error(ErrorKind.PEER_UNREACHABLE, "The connection was lost.")
+    return _user_error(
+        ErrorKind.PEER_UNREACHABLE,
+        "The connection was lost before a valid response arrived.",
+    )
 
 
 def _may_change_configuration(text):
-    # A host of a newer release may know statements that this one does not, so
-    # that a text which cannot be read counts as a change.
+    # A host of a newer release may support statements that this release cannot
+    # parse, so a text that fails to parse counts as a change.
     try:
         script = parser.parse(text)
     except ServiceError:
--- a/goldcrestmoor/commands/front.py
+++ b/goldcrestmoor/commands/front.py
@@ -14,12 +14,14 @@
 def front(path=None):
     """Run a daemon on the users' platform until SIGTERM or SIGINT.
 
-    :param path: the settings file, JSON; the one that the environment variable
-        ``GOLDCRESTMOOR_SETTINGS`` names when left out.
+    :param path: the settings file, JSON; by default the path in the environment
+        variable ``GOLDCRESTMOOR_SETTINGS``.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise UserError(f"Name a settings file, or set {SETTINGS_VARIABLE}.")
+        raise UserError(
+            f"No settings file given: pass a path or set {SETTINGS_VARIABLE}."
+        )
     loaded = front_settings.load(path)
     logs.set_up(loaded.log.level, loaded.log.style, sys.stdout)
     tracing.set_up(loaded.host.id, loaded.tracing.exporter)
--- a/goldcrestmoor/commands/keygen.py
+++ b/goldcrestmoor/commands/keygen.py
@@ -1,4 +1,4 @@
-"""``goldcrestmoor keygen``: make the keys that settings hold."""
+"""``goldcrestmoor keygen``: generate the keys for the settings file."""
 
 import json
 import secrets
--- a/goldcrestmoor/commands/replay.py
+++ b/goldcrestmoor/commands/replay.py
@@ -1,4 +1,4 @@
-"""``goldcrestmoor replay``: play a recorded trace and judge the outcomes."""
+"""``goldcrestmoor replay``: replay a recorded trace and check its outcomes."""
 
 import asyncio
 import sys
@@ -14,18 +14,18 @@
 
 
 def replay(path, fleet, json=False, plot="", against="", save=""):
-    """Play a recorded trace against running daemons.
+    """Replay a recorded trace against running daemons.
 
     :param path: the trace, JSON lines.
-    :param fleet: the JSON file that names the hosts and the accounts' tokens.
+    :param fleet: the JSON file with the hosts and the client accounts' tokens.
     :param json: print the report as JSON.
-    :param plot: an SVG file to draw, beside the report of another run.
-    :param against: that other run's saved report.
-    :param save: a file to keep the report in, as JSON.
+    :param plot: an SVG file to write, which compares this run with another one.
+    :param against: the saved report of the other run.
+    :param save: a file to save the report to, as JSON.
     """
     logs.set_up("warning")
     if plot and not against:
-        raise UserError("--plot needs --against, the report of another run.")
+        raise UserError("--plot requires --against, the saved report of another run.")
     head, entries = trace.read(path)
     report = asyncio.run(
         play(head, entries, plans.load(fleet), settings.default_limits())
@@ -53,4 +53,4 @@
         with open(path, "rb") as f:
             return msgspec.json.decode(f.read(), type=reports.Report)
     except (OSError, msgspec.MsgspecError) as e:
-        raise UserError(f"{path} is no saved report: {e}.") from e
+        raise UserError(f"{path} is not a saved report: {e}.") from e
--- a/goldcrestmoor/commands/serve.py
+++ b/goldcrestmoor/commands/serve.py
@@ -7,7 +7,7 @@
 
 
 def serve(path):
-    """Run a daemon until it is told to stop by SIGTERM or SIGINT.
+    """Run a daemon until SIGTERM or SIGINT.
 
     :param path: the settings file, JSON.
     """
--- a/test/test_commands.py
+++ b/test/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line, as a person at a terminal meets it."""
+"""The command line, run as a subprocess."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 
 
 def run(*arguments):
-    """Run the command line and return its exit code and its two outputs."""
+    """Run the command line and return its exit code, standard output and error."""
     done = subprocess.run(
         [sys.executable, "-m", "goldcrestmoor", *arguments],
         cwd=pathlib.Path(__file__).resolve().parent.parent,
