--- a/goldcrestmoor/__main__.py
+++ b/goldcrestmoor/__main__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Entry point of the command line."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def main():
-    """Run the subcommand that the arguments name."""
+    """Run the subcommand given by the arguments."""
     if sys.argv[1:] == ["--version"]:
         print(f"goldcrestmoor {goldcrestmoor.__version__}")
         return
--- a/goldcrestmoor/clock.py
+++ b/goldcrestmoor/clock.py
@@ -1,4 +1,4 @@
-"""The one clock, in milliseconds."""
+"""The clock of the service, in milliseconds, and deadlines on it."""
 
 import asyncio
 import time
@@ -8,10 +8,10 @@
 
 
 class Clock:
-    """Read time and sleep, in whole milliseconds.
+    """Reads time in whole milliseconds, and sleeps.
 
-    ``now_ms`` reads a clock that also runs while the process is frozen or the
-    machine is suspended, so that a lease held across a freeze lapses in time.
+    ``now_ms`` reads a clock that also advances while the process is frozen or the
+    machine is suspended, so that a lease held across a process freeze expires on time.
     """
 
     __slots__ = ()
@@ -19,12 +19,12 @@
     def now_ms(self):
         """Return the time since boot.
 
-        :return: whole milliseconds, never going back.
+        :return: whole milliseconds; monotonic.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // NS_PER_MS
 
     def wall_ms(self):
-        """Return the wall clock's time, for people and for records only.
+        """Return the wall clock time, only for display and for records.
 
         :return: whole milliseconds since the epoch.
         """
@@ -41,8 +41,8 @@
 class Deadline:
     """A point in time by which work must be done.
 
-    :param clock: the clock that it is read on.
-    :param at_ms: the point, on that clock's ``now_ms`` scale.
+    :param clock: the clock that measures the deadline.
+    :param at_ms: the deadline as a ``now_ms`` value of that clock.
     """
 
     __slots__ = ("clock", "at_ms")
@@ -53,21 +53,21 @@
 
     @classmethod
     def after(cls, clock, duration_ms):
-        """Return the deadline that lies a duration ahead.
+        """Return a deadline that is a duration from the current time.
 
-        :param clock: the clock that it is read on.
-        :param duration_ms: the time left, in milliseconds.
+        :param clock: the clock that measures the deadline.
+        :param duration_ms: the duration, in milliseconds.
         """
         return cls(clock, clock.now_ms() + duration_ms)
 
     def remaining_ms(self):
-        """Return the time left in milliseconds, never below zero."""
+        """Return the remaining time in milliseconds, at least zero."""
         return max(0, self.at_ms - self.clock.now_ms())
 
     def remaining_s(self):
-        """Return the time left in seconds, as asyncio's timeouts take it."""
+        """Return the remaining time in seconds, for asyncio timeouts."""
         return self.remaining_ms() / MS_PER_SECOND
 
     def passed(self):
-        """Tell whether the point has been reached."""
+        """Return whether the deadline has been reached."""
         return self.clock.now_ms() >= self.at_ms
--- a/goldcrestmoor/errors.py
+++ b/goldcrestmoor/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the answer that each one gives."""
+"""The fixed set of error kinds and the response that each one maps to."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether the upstream ran a request that ended in an error."""
+    """Whether the upstream ran a request that failed."""
 
     NOT_RUN = "not run"
     UNKNOWN = "unknown"
@@ -22,7 +22,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """Every kind of error that a caller, operator or peer can be given."""
+    """Every kind of error that is returned to callers, operators and peers."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -54,12 +54,13 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What one kind of error means to whoever receives it.
+    """How one kind of error is reported to its receiver.
 
     :param status: the HTTP status.
     :param ran: whether the upstream ran the request.
-    :param retry: what the receiver may do next.
-    :param retry_after_ms: when to come back, unless the error itself says so.
+    :param retry: whether the receiver may retry.
+    :param retry_after_ms: the default delay before a retry, in milliseconds; an
+        error may set another one.
     :param exit_code: the exit code of the command line.
     """
 
@@ -102,12 +103,12 @@
 
 
 class ServiceError(Exception):
-    """An error of one of the listed kinds.
+    """An error of one of the kinds in :class:`ErrorKind`.
 
     :param kind: the :class:`ErrorKind`.
-    :param message: one short sentence for people.
-    :param retry_after_ms: when to come back, in milliseconds; the kind's own
-        figure when left out.
+    :param message: one short sentence for display.
+    :param retry_after_ms: the delay before a retry, in milliseconds; by default
+        that of the kind.
     """
 
     def __init__(self, kind, message="", retry_after_ms=None):
@@ -118,24 +119,24 @@
 
     @property
     def code(self):
-        """The kind's name, as callers see it."""
+        """The error code that is sent to callers."""
         return self.kind.value
 
     @property
     def answer(self):
-        """The :class:`Answer` that the kind gives."""
+        """The :class:`Answer` of the error's kind."""
         return ANSWER_BY_KIND[self.kind]
 
     @property
     def retry_after_ms(self):
-        """When to come back, in milliseconds; zero when there is no use in it."""
+        """The delay before a retry, in milliseconds; zero when a retry is pointless."""
         if self._retry_after_ms is not None:
             return self._retry_after_ms
         return self.answer.retry_after_ms
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """An error as it travels, in answers to callers and between peers."""
+    """The serialized form of an error, in responses to callers and between peers."""
 
     code: ErrorKind
     message: str
@@ -146,10 +147,10 @@
 
 
 def to_body(error, request_id=""):
-    """Return the travelling form of an error.
+    """Return the serializable form of an error.
 
     :param error: a :class:`ServiceError`.
-    :param request_id: the request that it ends.
+    :param request_id: the id of the failed request.
     """
     answer = error.answer
     return ErrorBody(
@@ -163,7 +164,7 @@
 
 
 def from_body(body):
-    """Return the error that a travelling form stands for.
+    """Return the error of a deserialized body.
 
     :param body: an :class:`ErrorBody`.
     """
@@ -171,9 +172,9 @@
 
 
 class UserError(Exception):
-    """A mistake of the person at the command line, shown without a traceback.
+    """An error of the command line's user, printed without a traceback.
 
-    :param message: what is wrong, in full sentences.
+    :param message: the error, in full sentences.
     :param exit_code: the exit code of the command line.
     """
 
--- a/goldcrestmoor/logs.py
+++ b/goldcrestmoor/logs.py
@@ -1,8 +1,8 @@
-"""Logging: short sentences, a fixed prefix per part and the request's id.
+"""Logging as text or JSON, with the component's name and the request id.
 
-Lines are written by a thread of their own from a bounded queue, so that a reader that
-stalls never stalls the daemon; what doesn't fit is counted. Lines of one kind, those
-that one place in the code writes, are bounded each second.
+A separate thread writes lines from a bounded queue, so that a reader that stalls never
+blocks the daemon; lines that do not fit into the queue are dropped and counted. Lines
+with the same message template are limited to a number per second.
 """
 
 import atexit
@@ -17,9 +17,10 @@
 
 ROOT = "goldcrestmoor"
 
-# Lines of one kind in a second; a busy host writes some 30 about its items.
+# Per message template; a busy host writes about 30 lines per second about its items.
 MAX_LINES_PER_SECOND = 100
-# Some seconds of a busy host; more is lost when nobody reads.
+# Holds the lines of a busy host for some seconds; lines beyond it are dropped while
+# the reader is stalled.
 MAX_QUEUED_LINES = 5_000
 
 request_id = contextvars.ContextVar("request_id", default="")
@@ -33,7 +34,7 @@
 
 
 class _RateLimitFilter(logging.Filter):
-    """Let a bounded number of lines of each kind through, and count the rest."""
+    """Limits the lines per second of each message template; counts suppressed lines."""
 
     def __init__(self, now_s=time.monotonic):
         super().__init__()
@@ -58,7 +59,7 @@
 
 
 class _BoundedQueueHandler(logging.handlers.QueueHandler):
-    """Hand lines to the writing thread, or count them when it is too far behind."""
+    """Queues lines for the writer thread; drops and counts those that do not fit."""
 
     def __init__(self, lines):
         super().__init__(lines)
@@ -73,7 +74,8 @@
             self._lost_count += 1
 
     def prepare(self, record):
-        # The writing thread formats; only what may change meanwhile is taken here.
+        # The writer thread formats the line. Only the message is built here, because
+        # its arguments may change before then.
         record.message = record.getMessage()
         record.args = None
         record.msg = record.message
@@ -81,7 +83,7 @@
 
 
 def _loss_counts(record):
-    """Return what is to be said of lines that were not written."""
+    """Return the nonzero counts of lines not written before this one, by name."""
     left_out, lost = getattr(record, "left_out", 0), getattr(record, "lost", 0)
     return {
         name: count for name, count in (("left_out", left_out), ("lost", lost)) if count
@@ -117,11 +119,11 @@
 
 
 def set_up(level="info", style="text", stream=None):
-    """Send the package's log to a stream.
+    """Configure the package's loggers to write to a stream.
 
-    :param level: the lowest level that is written.
-    :param style: ``text`` for people or ``json`` for collectors.
-    :param stream: where to write; standard error when left out.
+    :param level: the minimum level of lines that are written.
+    :param style: ``text``, or ``json`` for log collectors.
+    :param stream: the output stream; by default standard error.
     """
     writer = logging.StreamHandler(stream or sys.stderr)
     writer.setFormatter(_JsonFormatter() if style == "json" else _TextFormatter())
@@ -139,7 +141,7 @@
 
 
 def set_level(level):
-    """Change the lowest level that is written.
+    """Change the minimum level of lines that are written.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
     """
--- a/goldcrestmoor/tracing.py
+++ b/goldcrestmoor/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: one span for each hop, with the W3C context carried along."""
+"""Tracing: one span per hop, with W3C trace context propagation."""
 
 import contextlib
 
@@ -14,9 +14,9 @@
 
 
 def set_up(host, exporter="none"):
-    """Choose where spans go.
+    """Configure the span exporter.
 
-    :param host: the host's name, kept on every span.
+    :param host: the host's name, set as a resource attribute of every span.
     :param exporter: ``none`` or ``console``.
     """
     global _is_exporting
@@ -31,12 +31,12 @@
 
 @contextlib.contextmanager
 def span(name, parent=None, **attributes):
-    """Record one hop.
+    """Record a span for one hop and make it the current span.
 
-    :param name: what the hop does.
+    :param name: the span's name.
     :param parent: the caller's ``traceparent`` header or field, if any.
-    :param attributes: what is kept on the span.
-    :return: a context manager that gives the OpenTelemetry span.
+    :param attributes: the span's attributes.
+    :return: a context manager that yields the OpenTelemetry span.
     """
     context = propagate.extract({_TRACEPARENT: parent}) if parent else None
     if not _is_exporting:
@@ -51,13 +51,13 @@
 
 @contextlib.contextmanager
 def detached_span(name, **attributes):
-    """Record one hop whose code runs in pieces, such as a generator's.
+    """Record a span for one hop whose code is suspended in between, as in a generator.
 
-    The span is not made the current one, which a generator must not do.
+    The span does not become the current span: a generator must not change it.
 
-    :param name: what the hop does.
-    :param attributes: what is kept on the span.
-    :return: a context manager that gives the span's ``traceparent``.
+    :param name: the span's name.
+    :param attributes: the span's attributes.
+    :return: a context manager that yields the span's ``traceparent``.
     """
     if not _is_exporting:
         yield traceparent()
@@ -73,7 +73,7 @@
 
 @contextlib.contextmanager
 def _propagated_context(context):
-    """Carry the trace's context on, or start one, where no span is exported.
+    """Propagate the trace context, or start a new one, when spans are not exported.
 
     :param context: the caller's context, or None.
     """
--- a/goldcrestmoor/util.py
+++ b/goldcrestmoor/util.py
@@ -1,4 +1,4 @@
-"""Small helpers that several parts need."""
+"""Small helpers shared by several modules."""
 
 import asyncio
 import hashlib
@@ -12,9 +12,9 @@
 
 log = logging.getLogger("goldcrestmoor.util")
 
-# Two processes never draw the same identifier.
+# Large enough that two processes do not generate the same identifier.
 ID_BYTES = 12
-# A part that fails at each start must not take the whole processor.
+# Prevents a component that fails on every start from using a whole CPU core.
 RESTART_DELAY_MS = 100
 
 
@@ -24,19 +24,19 @@
 
 
 def hash_token(token):
-    """Return the stored form of an account's token.
+    """Return the hash under which a client account's token is stored.
 
-    :param token: the token as the caller sends it.
+    :param token: the token as sent by the caller.
     """
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def rendezvous(key, nodes):
-    """Return the node that a key belongs to, by highest random weight.
+    """Return the node that owns a key, by rendezvous (highest random weight) hashing.
 
-    Only the keys of a node that goes away move.
+    When a node is removed, only the keys of that node move.
 
-    :param key: the key's text.
+    :param key: the key, a string.
     :param nodes: the nodes' names.
     :raises ValueError: when there are no nodes.
     """
@@ -44,9 +44,9 @@
 
 
 def rendezvous_order(key, nodes):
-    """Return the nodes in the order in which a key prefers them.
+    """Return the nodes by descending rendezvous weight for a key.
 
-    :param key: the key's text.
+    :param key: the key, a string.
     :param nodes: the nodes' names.
     """
     return sorted(nodes, key=lambda node: _weight(node, key), reverse=True)
@@ -57,15 +57,16 @@
 
 
 async def wait_within(timeout_ms, wait):
-    """Return what comes within a time, or has come by its end.
+    """Return a result that arrives before the timeout or is available when it fires.
 
-    After a stall of this process the loop hears of the timer and of what came
-    meanwhile at once, and the timer ends the wait. What has come is then there without
-    a wait.
+    After a stall of this process, the event loop sees the timer and the data that
+    arrived meanwhile in the same iteration, and the timer cancels the wait. A second
+    call with a timeout of zero then returns that data.
 
-    :param timeout_ms: how long to wait, in milliseconds.
-    :param wait: called for what is awaited; called again after the time has passed.
-    :raises TimeoutError: when nothing has come.
+    :param timeout_ms: the timeout, in milliseconds.
+    :param wait: a coroutine function that returns the result; called again after the
+        timeout.
+    :raises TimeoutError: when no result is available.
     """
     try:
         async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
@@ -76,7 +77,7 @@
 
 
 class TaskGroup:
-    """Tasks that end with their owner, and whose failures are logged."""
+    """Tasks that are cancelled when the group is closed; failures are logged."""
 
     __slots__ = ("_tasks",)
 
@@ -86,7 +87,7 @@
     def start(self, coroutine, name=None):
         """Run a coroutine as a task and return the task.
 
-        :param coroutine: what to run.
+        :param coroutine: the coroutine to run.
         :param name: the task's name, for the log.
         """
         task = asyncio.get_running_loop().create_task(coroutine, name=name)
@@ -100,7 +101,7 @@
             log.error("Task %s failed.", task.get_name(), exc_info=task.exception())
 
     async def close(self):
-        """Cancel every task and wait until all have ended."""
+        """Cancel all tasks and wait until they have finished."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -108,11 +109,11 @@
 
 
 async def keep_running(name, run, clock):
-    """Run a part of the process for good, and again after it has failed.
+    """Run a component of the process until cancelled, and restart it when it fails.
 
-    A fault in one part must not leave the process serving with that part dead.
+    A failed component must not stay down while the process keeps serving.
 
-    :param name: the part's name, for the log.
+    :param name: the component's name, for the log.
     :param run: a coroutine function that returns only when it fails.
     :param clock: the clock.
     """
@@ -120,15 +121,17 @@
         try:
             await run()
         except Exception:
-            log.exception("Part %s failed and is started again.", name)
+            log.exception("Component %s failed and will be restarted.", name)
         await clock.sleep_ms(RESTART_DELAY_MS)
 
 
 class Backoff:
-    """Delays that double up to a bound, each with full jitter.
+    """Exponential backoff: random delays whose upper bound doubles up to a maximum.
 
-    :param min_ms: the bound on the first delay, in milliseconds.
-    :param max_ms: the bound on every delay, in milliseconds.
+    Each delay is drawn between half of ``min_ms`` and the current upper bound.
+
+    :param min_ms: the upper bound of the first delay, in milliseconds.
+    :param max_ms: the upper bound of every delay, in milliseconds.
     """
 
     __slots__ = ("_min_ms", "_max_ms", "_bound_ms")
@@ -145,5 +148,5 @@
         return delay_ms
 
     def reset(self):
-        """Start over, after a success."""
+        """Reset the upper bound to that of the first delay, after a success."""
         self._bound_ms = self._min_ms
--- a/goldcrestmoor/wire.py
+++ b/goldcrestmoor/wire.py
@@ -1,4 +1,4 @@
-"""The typed messages that daemons exchange, and their codec."""
+"""The base class and the codec of the typed messages between daemons."""
 
 import msgspec
 
@@ -10,12 +10,12 @@
 
 
 class Message(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The base of every message between daemons.
+    """The base class of every message between daemons.
 
-    A subclass is known by its name on the wire. Fields are encoded by name, so
-    that daemons of two releases understand each other during a rollout: a new
-    field needs a default. The most frequent messages are ``array_like``, without
-    the names; a new field of theirs also stands last.
+    The class name of a subclass identifies the message on the wire. Fields are
+    encoded by name, so that daemons of two releases are compatible during a rollout:
+    a new field needs a default. The most frequent messages are ``array_like``, which
+    omits the field names; a new field of such a message must also be the last one.
     """
 
     def __init_subclass__(cls, **kwargs):
@@ -24,29 +24,29 @@
 
 
 class Failed(Message, frozen=True):
-    """The answer to a call that ended in an error."""
+    """The reply to a call that failed."""
 
     error: ErrorBody
 
 
 class Done(Message, frozen=True):
-    """The answer to a call that has nothing else to say."""
+    """The reply to a call that succeeded without a result."""
 
 
 def encode(message):
-    """Return a message as its name and its body.
+    """Return the name and the encoded body of a message.
 
     :param message: an instance of a :class:`Message` subclass.
-    :return: two byte strings.
+    :return: the name and the body, as bytes.
     """
     return type(message).__name__.encode(), _encoder.encode(message)
 
 
 def decode(name, body):
-    """Return the message that two byte strings hold.
+    """Return the message with the given name and encoded body.
 
-    :param name: the message's name.
-    :param body: its encoded fields.
+    :param name: the message's name, as bytes.
+    :param body: the encoded fields.
     :raises ServiceError: ``BAD_REQUEST`` when the name is unknown or the body is
         malformed.
     """
@@ -54,7 +54,7 @@
     decoder = _decoder_by_name.get(key)
     if decoder is None:
         if key not in _class_by_name:
-            raise ServiceError(ErrorKind.BAD_REQUEST, "Unknown peer message.")
+            raise ServiceError(ErrorKind.BAD_REQUEST, "Unknown peer message type.")
         decoder = msgspec.msgpack.Decoder(_class_by_name[key])
         _decoder_by_name[key] = decoder
     try:
