--- a/test/__main__.py
+++ b/test/__main__.py
@@ -1,6 +1,6 @@
-"""Run every test; pass over those that KNOWN-RED.txt names, and print them.
+"""Test runner; failures listed in KNOWN-RED.txt are printed but do not fail the run.
 
-Modules run side by side, each in a process of its own with ports of its own.
+Modules run in parallel, each in a separate process with a separate port range.
 """
 
 import concurrent.futures
@@ -14,8 +14,8 @@
 from test._common import PORTS_VARIABLE
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-# Half of a small machine: the proofs keep time bounds, which more at once do not leave
-# them.
+# Half of a small machine: the proofs check time bounds, which they miss when more
+# modules run in parallel.
 WORKERS = 4
 FIRST_PORT = 10_000
 PORTS_PER_MODULE = 300
@@ -25,7 +25,7 @@
 
 
 def read_known_red():
-    """Return the listed tests' lines by dotted name."""
+    """Return the entries of KNOWN-RED.txt by dotted test name."""
     lines = (ROOT / "KNOWN-RED.txt").read_text().splitlines()
     entries = [line for line in lines if line.strip() and not line.startswith("#")]
     return {entry.split("|")[0].strip(): entry for entry in entries}
@@ -38,7 +38,7 @@
 
 
 def run_module(number, name):
-    """Run one module and return its output and how its process ended."""
+    """Run one module and return its name, output and exit code."""
     first = FIRST_PORT + number * PORTS_PER_MODULE
     done = subprocess.run(
         [sys.executable, "-m", "unittest", "--verbose", name],
@@ -54,7 +54,7 @@
 
 
 def run_all():
-    """Run all modules; return the failing tests' names and the counts."""
+    """Run all modules; return the failing tests' names and the run and skip counts."""
     failing, ran, skipped = set(), 0, 0
     with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
         runs = [pool.submit(run_module, *each) for each in enumerate(find_modules())]
@@ -71,7 +71,7 @@
 
 
 def run_named(names):
-    """Run the named tests in this process; return as :func:`run_all` does."""
+    """Run the named tests in this process; return the same as :func:`run_all`."""
     suite = unittest.TestLoader().loadTestsFromNames(names)
     result = unittest.TextTestRunner(verbosity=2).run(suite)
     failing = {test.id() for test, _ in result.failures + result.errors}
@@ -80,7 +80,7 @@
 
 
 def main():
-    """Run the tests that the arguments name, or all."""
+    """Run the tests named by the arguments, or all tests."""
     names = sys.argv[1:]
     failing, ran, skipped = run_named(names) if names else run_all()
     known = read_known_red()
--- a/test/_common.py
+++ b/test/_common.py
@@ -1,4 +1,4 @@
-"""What many tests share: settings, ports and processes."""
+"""Shared test helpers: settings, ports and polling."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 EVENT_TIMEOUT_S = 60
 POLL_S = 0.02
 PORTS_VARIABLE = "GOLDCRESTMOOR_TEST_PORTS"
-# Test modules that run side by side are each given ports of their own.
+# Each test module that runs in parallel gets a separate port range.
 FIRST_PORT, LAST_PORT = map(
     int, os.environ.get(PORTS_VARIABLE, "10000-32000").split("-")
 )
@@ -27,10 +27,11 @@
 
 
 def free_port(address="127.0.0.1"):
-    """Return a TCP port that was free a moment ago.
+    """Return a TCP port that can be bound on the address at the time of the call.
 
-    It is none of those that the kernel gives to outgoing connections, which could
-    take it before its server does, and none that was returned lately.
+    The ports lie outside the kernel's range for outgoing connections, which could use
+    the port before its server binds it. A port is returned again only after the other
+    ports of the range.
     """
     while True:
         port = FIRST_PORT + next(_port_offsets) % (LAST_PORT - FIRST_PORT)
@@ -40,7 +41,7 @@
 
 
 def settings_document(host_id="host-a1", zone="zone-a", **sections):
-    """Return a settings document for a host on loopback."""
+    """Return the settings document of a host on the loopback interface."""
     document = {
         "host": {
             "id": host_id,
@@ -65,12 +66,12 @@
 
 
 def make_settings(*args, **sections):
-    """Return checked settings for a host on loopback."""
+    """Return validated settings of a host on the loopback interface."""
     return settings.decode(settings_document(*args, **sections))
 
 
 async def eventually(predicate, timeout_s=EVENT_TIMEOUT_S):
-    """Wait until a predicate, plain or async, is true; fail when it never is."""
+    """Poll a sync or async predicate until it is true; fail after the timeout."""
     end = time.monotonic() + timeout_s
     while True:
         result = predicate()
--- a/test/_process.py
+++ b/test/_process.py
@@ -1,4 +1,4 @@
-"""One process of a test's fleet, with its log, signalled by its id only."""
+"""One process of a test fleet with its log; it is signalled by process id only."""
 
 import asyncio
 import atexit
@@ -23,9 +23,9 @@
 class Process:
     """A started process.
 
-    :param name: its name in the fleet.
-    :param arguments: what follows ``python -m``.
-    :param directory: where its log goes.
+    :param name: the process's name in the fleet.
+    :param arguments: the arguments of ``python -m``.
+    :param directory: the directory of the log file.
     """
 
     __slots__ = ("name", "arguments", "log_path", "_popen", "__weakref__")
@@ -42,8 +42,8 @@
                 stdout=log,
                 stderr=subprocess.STDOUT,
                 env={**os.environ, "PYTHONUNBUFFERED": "1"},
-                # A frozen process would be hung up when the shell that runs the
-                # tests ends, as a member of a group that lost its parent.
+                # Without a new session, a frozen process would get SIGHUP when the
+                # shell that runs the tests exits and orphans its process group.
                 start_new_session=True,
             )
         _running.add(self)
@@ -54,47 +54,47 @@
         return self._popen.pid
 
     def alive(self):
-        """Tell whether it runs; a frozen process does."""
+        """Return whether the process has not exited; true for a frozen process."""
         return self._popen.poll() is None
 
     def log(self):
-        """Return everything that it has printed."""
+        """Return the complete output of the process."""
         return self.log_path.read_text(errors="replace")
 
     def log_tail(self):
-        """Return the end of what it has printed."""
+        """Return the end of the output."""
         return self.log()[-LOG_TAIL_CHARS:]
 
     def kill(self):
-        """End it at once, also when it is frozen."""
+        """Kill the process with SIGKILL, which also ends a frozen process."""
         self._signal(signal.SIGKILL)
 
     def freeze(self):
-        """Stop it without its noticing."""
+        """Freeze the process with SIGSTOP, which it cannot detect or handle."""
         self._signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Let it go on after a freeze."""
+        """Resume the process after a freeze, with SIGCONT."""
         self._signal(signal.SIGCONT)
 
     def terminate(self):
-        """Ask it to shut down gracefully."""
+        """Request a graceful shutdown with SIGTERM."""
         self._signal(signal.SIGTERM)
 
     def reload(self):
-        """Tell it that its settings have changed."""
+        """Make the process reload its settings, with SIGHUP."""
         self._signal(signal.SIGHUP)
 
     async def wait(self, timeout_s=_common.EVENT_TIMEOUT_S):
-        """Wait until it has ended.
+        """Wait until the process has exited.
 
-        :return: its exit code.
+        :return: the exit code.
         """
         await _common.eventually(lambda: not self.alive(), timeout_s)
         return self._popen.returncode
 
     async def ready_port(self):
-        """Wait for the line ``ready PORT`` of a stand-in.
+        """Wait until a stand-in prints the line ``ready PORT``.
 
         :return: the port.
         """
@@ -106,7 +106,7 @@
             if line.startswith(READY):
                 return line
         if not self.alive():
-            raise AssertionError(f"{self.name} ended early:\n{self.log_tail()}")
+            raise AssertionError(f"{self.name} exited early:\n{self.log_tail()}")
         return None
 
     def _signal(self, number):
@@ -115,12 +115,12 @@
 
 
 def stand_in(name, kind, options, directory):
-    """Start a stand-in.
+    """Start a stand-in process.
 
-    :param name: its name in the fleet.
-    :param kind: its module in ``test/standins``.
-    :param options: its settings, with ``address`` and ``port``.
-    :param directory: where its log goes.
+    :param name: the process's name in the fleet.
+    :param kind: the module in ``test/standins``.
+    :param options: the stand-in's settings, with ``address`` and ``port``.
+    :param directory: the directory of the log file.
     :return: the :class:`Process`.
     """
     arguments = [f"test.standins.{kind}", json.dumps(options)]
@@ -128,7 +128,7 @@
 
 
 async def stop_all(processes):
-    """End processes and wait until they are gone.
+    """Kill processes and wait until they have exited.
 
     :param processes: the :class:`Process` objects.
     """
--- a/test/check_docs.py
+++ b/test/check_docs.py
@@ -1,4 +1,4 @@
-"""Check that every page of the documentation is well-formed reST."""
+"""Check that every documentation page is well-formed reStructuredText."""
 
 import pathlib
 import sys
@@ -9,7 +9,7 @@
 
 
 def main():
-    """Exit with 1 when a page has a fault."""
+    """Check all pages; exit with 1 when a page has a markup error."""
     faults = 0
     for path in sorted((ROOT / "docs").rglob("*.rst")):
         try:
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -14,7 +14,7 @@
 
 
 def error_rows():
-    """Yield the error table's rows as they stand in the documentation."""
+    """Yield the rows of the error table in the column order of the documentation."""
     for kind, answer in ANSWER_BY_KIND.items():
         fields = (kind.value, answer.status, answer.ran.value, answer.retry.value)
         yield fields + (answer.retry_after_ms, answer.exit_code)
@@ -33,7 +33,7 @@
         self.assertIn("\n".join(render(error_rows())), page)
 
 
-# Sections of the daemon on the users' platform that the other page explains.
+# Sections of the front daemon's settings that settings.rst documents.
 SHARED_SECTIONS = ("limits", "shutdown", "log", "tracing")
 
 
@@ -51,14 +51,14 @@
     def test_the_platforms_page_names_every_setting_and_no_other(self):
         names = set(setting_names(front_settings.FrontSettings))
         own = {n for n in names if n.partition(".")[0] not in SHARED_SECTIONS}
-        # The page names one shared setting, which a reload puts in force.
+        # The page also names one shared setting, which takes effect on a reload.
         self.assertEqual(
             self.settings_named_on("front-settings.rst"), own | {"log.level"}
         )
 
 
 def setting_names(document):
-    """Yield every setting of a document as section and name."""
+    """Yield the ``section.name`` of every setting of a settings class."""
     sections = typing.get_type_hints(document)
     for section, kind in sections.items():
         kind = typing.get_args(kind)[0] if typing.get_args(kind) else kind
--- a/test/test_errors.py
+++ b/test/test_errors.py
@@ -1,4 +1,4 @@
-"""Every error kind has an answer."""
+"""Every error kind has an entry in the error table."""
 
 import unittest
 
--- a/test/test_log_volume.py
+++ b/test/test_log_volume.py
@@ -1,4 +1,4 @@
-"""Logs that stay bounded and never wait for their reader."""
+"""Log output is rate-limited and never blocks on its reader."""
 
 import io
 import json
@@ -30,7 +30,7 @@
         logs.set_up("info", "json", stream)
         for number in range(1000):
             self.log.info("Item %d is done.", number)
-        self.log.info("Another kind is not held back.")
+        self.log.info("Another kind is not suppressed.")
         lines = self.wait_for(stream, "Another kind")
         self.assertLessEqual(len(lines), 2 * logs.MAX_LINES_PER_SECOND + 1)
         time.sleep(1.1)
@@ -50,7 +50,7 @@
             done.set()
 
         threading.Thread(target=write, daemon=True).start()
-        self.assertTrue(done.wait(20), "the writer waited for a full pipe")
+        self.assertTrue(done.wait(20), "the writer blocked on a full pipe")
         os.set_blocking(reading, False)
         while not done.is_set() or self.drain(reading):
             pass
--- a/test/test_tracing.py
+++ b/test/test_tracing.py
@@ -1,4 +1,4 @@
-"""The trace's context is carried on, whether or not spans are exported."""
+"""The trace context is propagated when spans are not exported."""
 
 import unittest
 
--- a/test/test_wire.py
+++ b/test/test_wire.py
@@ -1,4 +1,4 @@
-"""Peer messages are typed and survive bad input."""
+"""Encoding and decoding of peer messages; bad input is rejected."""
 
 import unittest
 
