--- a/goldcrestmoor/client/trainer.py
+++ b/goldcrestmoor/client/trainer.py
@@ -190,7 +190,7 @@
             return msgspec.json.decode(data, type=PullAnswer)
         except msgspec.MsgspecError as e:
             raise ServiceError(
-                ErrorKind.UPSTREAM_FAILED, "Malformed response to a pull request."
+                ErrorKind.UPSTREAM_FAILED, "Malformed pull response."
             ) from e
 
     async def _acknowledge(self, step):
--- a/goldcrestmoor/errors.py
+++ b/goldcrestmoor/errors.py
@@ -14,7 +14,7 @@
 
 
 class Retry(enum.StrEnum):
-    """What a caller may do after an error."""
+    """Whether a caller may retry after an error."""
 
     NEVER = "never"
     LATER = "later"
