--- a/goldcrestmoor/client/trainer.py
+++ b/goldcrestmoor/client/trainer.py
@@ -58,7 +58,7 @@
         )
         return tuple(sorted(complete_groups)), tuple(other_slots)
 
-    def wants(self, slot):
+    def needs_sample(self, slot):
         """Return whether a slot belongs to the step and has no sample yet."""
         size = self._size_by_group.get(slot.group, 0)
         return 0 <= slot.index < size and slot not in self.sample_by_slot
@@ -167,7 +167,7 @@
         ]
 
     def _accept_sample(self, step, sample):
-        if not step.wants(sample.slot):
+        if not step.needs_sample(sample.slot):
             self.dropped_held += 1
             return False
         lag = self.version - oldest_version(sample)
--- a/test/test_commands.py
+++ b/test/test_commands.py
@@ -61,7 +61,7 @@
             self.assertIn("host.zone", error)
             self.assertNotIn("Traceback", error)
 
-    def test_new_keys_fit_into_settings(self):
+    def test_generated_keys_are_valid_in_settings(self):
         code, output, _ = run("keygen")
         made = json.loads(output)
         document = _common.settings_document() | {"security": made["security"]}
--- a/test/test_docs.py
+++ b/test/test_docs.py
@@ -50,10 +50,10 @@
 
     def test_the_platforms_page_names_every_setting_and_no_other(self):
         names = set(setting_names(front_settings.FrontSettings))
-        own = {n for n in names if n.partition(".")[0] not in SHARED_SECTIONS}
+        front_only = {n for n in names if n.partition(".")[0] not in SHARED_SECTIONS}
         # The page also names one shared setting, which takes effect on a reload.
         self.assertEqual(
-            self.settings_named_on("front-settings.rst"), own | {"log.level"}
+            self.settings_named_on("front-settings.rst"), front_only | {"log.level"}
         )
 
 
--- a/test/test_trainer_client.py
+++ b/test/test_trainer_client.py
@@ -139,7 +139,7 @@
         self.assertEqual(client.version, 7)
         self.assertEqual(self.http.weights.published, [("m", 7, "tuner")])
 
-    async def test_whole_groups_are_named_by_index(self):
+    async def test_complete_groups_are_listed_by_index(self):
         client = self.make_client()
         step = await self.submit(client)
         _, answered = await self.fleet.host_by_id["a"].collect("s1")
