--- a/goldcrestmoor/client/notes.py
+++ b/goldcrestmoor/client/notes.py
@@ -1,4 +1,4 @@
-"""The applications' client: a note is saved at most once."""
+"""Client library for applications: saves each note at most once."""
 
 import enum
 import logging
@@ -9,7 +9,7 @@
     HostRing,
     checked,
     make_transport,
-    not_run,
+    was_not_run,
 )
 from goldcrestmoor.clock import Clock, Deadline
 from goldcrestmoor.errors import ErrorKind, ServiceError
@@ -25,20 +25,20 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a note."""
+    """The outcome of saving a note."""
 
     SAVED = "saved"
     NOT_SAVED = "not saved"
     UNKNOWN = "unknown"
 
 
-class Saved(msgspec.Struct, frozen=True):
-    """The fate of a note.
+class SaveResult(msgspec.Struct, frozen=True):
+    """The result of :meth:`NotesClient.save`.
 
-    :param outcome: whether it was saved.
-    :param key: the key that it was sent with.
-    :param body: the application's answer, when it was saved.
-    :param reason: why it was not, or why that is not known.
+    :param outcome: whether the note was saved.
+    :param key: the idempotency key that the note was sent with.
+    :param body: the application's response, when the note was saved.
+    :param reason: why the note was not saved, or why the outcome is unknown.
     """
 
     outcome: Outcome
@@ -48,18 +48,18 @@
 
 
 class KeyAnswer(msgspec.Struct, frozen=True):
-    """The answer to ``POST /v1/keys``."""
+    """The response to ``POST /v1/keys``."""
 
     key: str
 
 
 class NotesClient:
-    """Save notes through any host, each at most once.
+    """Saves notes through any host, each at most once.
 
-    :param urls: the hosts, such as ``["http://127.0.0.1:8080"]``.
-    :param token: the application account's token.
-    :param transport: sends the requests; made from the token when left out.
-    :param clock: the clock.
+    :param urls: the hosts' base URLs, such as ``["http://127.0.0.1:8080"]``.
+    :param token: the token of the application's client account.
+    :param transport: sends the requests; by default created from the token.
+    :param clock: the clock; by default a new :class:`~goldcrestmoor.clock.Clock`.
     """
 
     __slots__ = ("_hosts", "_transport", "_clock")
@@ -72,14 +72,14 @@
     async def save(self, path, body, timeout_ms, headers=()):
         """Save one note.
 
-        :param path: the note's target, such as ``/apps/fit-desk/notes``.
+        :param path: the request target, such as ``/apps/fit-desk/notes``.
         :param body: the note, as bytes.
-        :param timeout_ms: how long to try, in milliseconds.
-        :param headers: further ``(name, value)`` pairs of bytes.
-        :return: what became of it, as :class:`Saved`.
+        :param timeout_ms: the total time for all attempts, in milliseconds.
+        :param headers: additional ``(name, value)`` pairs of bytes.
+        :return: the outcome, as :class:`SaveResult`.
         """
         deadline = Deadline.after(self._clock, timeout_ms)
-        key = await self._mint(deadline)
+        key = await self._mint_key(deadline)
         headers = [(KEY_HEADER, key.encode()), *headers]
         backoff = Backoff(BACKOFF_MIN_MS, BACKOFF_MAX_MS)
         unknown = False
@@ -89,19 +89,19 @@
                 response = await self._transport.post(
                     self._hosts.current, path, body, attempt_ms, headers
                 )
-                return Saved(Outcome.SAVED, key, checked(response))
+                return SaveResult(Outcome.SAVED, key, checked(response))
             except ServiceError as e:
-                # Once an attempt's fate is unknown, a later attempt that was not
-                # run says nothing of the earlier one.
-                unknown = unknown or not not_run(e)
+                # Once the outcome of an attempt is unknown, a later attempt that was
+                # not run does not show whether the earlier one ran.
+                unknown = unknown or not was_not_run(e)
                 if deadline.passed() or _is_final(e):
                     outcome = Outcome.UNKNOWN if unknown else Outcome.NOT_SAVED
-                    return Saved(outcome, key, reason=str(e))
-                pause_ms = max(backoff.next_ms(), _wanted_pause_ms(e))
-            self._hosts.move_on()
+                    return SaveResult(outcome, key, reason=str(e))
+                pause_ms = max(backoff.next_ms(), _requested_pause_ms(e))
+            self._hosts.advance()
             await self._clock.sleep_ms(min(pause_ms, deadline.remaining_ms()))
 
-    async def _mint(self, deadline):
+    async def _mint_key(self, deadline):
         for _ in range(len(self._hosts)):
             timeout_ms = min(MINT_TIMEOUT_MS, deadline.remaining_ms())
             if timeout_ms <= 0:
@@ -112,8 +112,8 @@
                 )
                 return msgspec.json.decode(checked(response), type=KeyAnswer).key
             except (ServiceError, msgspec.MsgspecError) as e:
-                log.info("Host %s minted no key: %s", self._hosts.current, e)
-                self._hosts.move_on()
+                log.info("Host %s failed to mint a key: %s", self._hosts.current, e)
+                self._hosts.advance()
         return new_id()
 
 
@@ -130,5 +130,5 @@
     )
 
 
-def _wanted_pause_ms(error):
+def _requested_pause_ms(error):
     return error.retry_after_ms if error.kind == ErrorKind.IN_PROGRESS else 0
--- a/goldcrestmoor/logs.py
+++ b/goldcrestmoor/logs.py
@@ -1,8 +1,8 @@
-"""Logging: short sentences, a fixed prefix per part and the request's id.
+"""Logging as text or JSON, with the component's name and the request id.
 
-Lines are written by a thread of their own from a bounded queue, so that a reader that
-stalls never stalls the daemon; what doesn't fit is counted. Lines of one kind, those
-that one place in the code writes, are bounded each second.
+A separate thread writes lines from a bounded queue, so that a reader that stalls never
+blocks the daemon; lines that do not fit into the queue are dropped and counted. Lines
+with the same message template are limited to a number per second.
 """
 
 import atexit
@@ -17,10 +17,11 @@
 
 ROOT = "goldcrestmoor"
 
-# Lines of one kind in a second; a busy host writes some 30 about its items.
-LINES_PER_SECOND = 100
-# Some seconds of a busy host; more is lost when nobody reads.
-QUEUED_LINES = 5_000
+# Per message template; a busy host writes about 30 lines per second about its items.
+MAX_LINES_PER_SECOND = 100
+# Holds the lines of a busy host for some seconds; lines beyond it are dropped while
+# the reader is stalled.
+MAX_QUEUED_LINES = 5_000
 
 request_id = contextvars.ContextVar("request_id", default="")
 
@@ -32,56 +33,57 @@
         return True
 
 
-class _VolumeFilter(logging.Filter):
-    """Let a bounded number of lines of each kind through, and count the rest."""
+class _RateLimitFilter(logging.Filter):
+    """Limits the lines per second of each message template; counts suppressed lines."""
 
     def __init__(self, now_s=time.monotonic):
         super().__init__()
         self._now_s = now_s
-        self._second = 0
+        self._current_second = 0
         self._count_by_kind = {}
-        self._left_out_by_kind = {}
+        self._suppressed_by_kind = {}
 
     def filter(self, record):
         second = int(self._now_s())
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._count_by_kind.clear()
         count = self._count_by_kind.get(record.msg, 0) + 1
         self._count_by_kind[record.msg] = count
-        if count > LINES_PER_SECOND:
-            left_out = self._left_out_by_kind.get(record.msg, 0) + 1
-            self._left_out_by_kind[record.msg] = left_out
+        if count > MAX_LINES_PER_SECOND:
+            left_out = self._suppressed_by_kind.get(record.msg, 0) + 1
+            self._suppressed_by_kind[record.msg] = left_out
             return False
-        record.left_out = self._left_out_by_kind.pop(record.msg, 0)
+        record.left_out = self._suppressed_by_kind.pop(record.msg, 0)
         return True
 
 
-class _BoundedHandler(logging.handlers.QueueHandler):
-    """Hand lines to the writing thread, or count them when it is too far behind."""
+class _BoundedQueueHandler(logging.handlers.QueueHandler):
+    """Queues lines for the writer thread; drops and counts those that do not fit."""
 
     def __init__(self, lines):
         super().__init__(lines)
-        self._lost = 0
+        self._lost_count = 0
 
     def enqueue(self, record):
-        record.lost = self._lost
+        record.lost = self._lost_count
         try:
             self.queue.put_nowait(record)
-            self._lost = 0
+            self._lost_count = 0
         except queue.Full:
-            self._lost += 1
+            self._lost_count += 1
 
     def prepare(self, record):
-        # The writing thread formats; only what may change meanwhile is taken here.
+        # The writer thread formats the line. Only the message is built here, because
+        # its arguments may change before then.
         record.message = record.getMessage()
         record.args = None
         record.msg = record.message
         return record
 
 
-def _losses(record):
-    """Return what is to be said of lines that were not written."""
+def _loss_counts(record):
+    """Return the nonzero counts of lines not written before this one, by name."""
     left_out, lost = getattr(record, "left_out", 0), getattr(record, "lost", 0)
     return {
         name: count for name, count in (("left_out", left_out), ("lost", lost)) if count
@@ -93,7 +95,7 @@
         suffix = f" [{record.request_id}]" if record.request_id else ""
         line = f"{self.formatTime(record)} {record.levelname.lower()} "
         line += f"{record.part}: {record.getMessage()}{suffix}"
-        for name, count in _losses(record).items():
+        for name, count in _loss_counts(record).items():
             line += f" ({count} {name.replace('_', ' ')})"
         if record.exc_info:
             line += "\n" + self.formatException(record.exc_info)
@@ -107,7 +109,7 @@
             "level": record.levelname.lower(),
             "part": record.part,
             "message": record.getMessage(),
-            **_losses(record),
+            **_loss_counts(record),
         }
         if record.request_id:
             fields["request_id"] = record.request_id
@@ -117,17 +119,17 @@
 
 
 def set_up(level="info", style="text", stream=None):
-    """Send the package's log to a stream.
+    """Configure the package's loggers to write to a stream.
 
-    :param level: the lowest level that is written.
-    :param style: ``text`` for people or ``json`` for collectors.
-    :param stream: where to write; standard error when left out.
+    :param level: the minimum level of lines that are written.
+    :param style: ``text``, or ``json`` for log collectors.
+    :param stream: the output stream; by default standard error.
     """
     writer = logging.StreamHandler(stream or sys.stderr)
     writer.setFormatter(_JsonFormatter() if style == "json" else _TextFormatter())
-    lines = queue.Queue(QUEUED_LINES)
-    handler = _BoundedHandler(lines)
-    handler.addFilter(_VolumeFilter())
+    lines = queue.Queue(MAX_QUEUED_LINES)
+    handler = _BoundedQueueHandler(lines)
+    handler.addFilter(_RateLimitFilter())
     handler.addFilter(_ContextFilter())
     listener = logging.handlers.QueueListener(lines, writer)
     listener.start()
@@ -139,7 +141,7 @@
 
 
 def set_level(level):
-    """Change the lowest level that is written.
+    """Change the minimum level of lines that are written.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
     """
--- a/test/test_tracing.py
+++ b/test/test_tracing.py
@@ -1,4 +1,4 @@
-"""The trace's context is carried on, whether or not spans are exported."""
+"""The trace context is propagated when spans are not exported."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 PARENT = f"00-{TRACE_ID}-b7ad6b7169203331-01"
 
 
-class CarriedContextTest(unittest.TestCase):
+class ContextPropagationTest(unittest.TestCase):
     def setUp(self):
         tracing.set_up("host-1", "none")
 
