--- a/goldcrestmoor/process/front.py
+++ b/goldcrestmoor/process/front.py
@@ -400,7 +400,7 @@
             new = front_settings.load(self._path)
         except UserError as e:
             log.error(
-                "The settings are unchanged, because the new ones are invalid: %s", e
+                "The settings are unchanged, because the new ones are wrong: %s", e
             )
             return
         old, self.settings = self.settings, new
