--- a/test/test_weights.py
+++ b/test/test_weights.py
@@ -292,7 +292,7 @@
         await stopping
 
     async def test_a_malformed_row_hides_no_other(self):
-        self.table.apply([], [_table.seam.Write("versions", "a-model", b"?")])
+        self.table.apply([], [_table.table_service.Write("versions", "a-model", b"?")])
         host = self.add_host("host-a")
         await self.publish(1)
         other = self.add_host("host-b")
