--- a/goldcrestmoor/language/changes.py
+++ b/goldcrestmoor/language/changes.py
@@ -39,28 +39,28 @@
     upstreams = configuration.upstreams_by_name
     match change:
         case st.CreateAccount(name=name, options=options):
-            fields = {"name": name} | _nested(options)
-            created = _added(accounts, name, _convert(fields, Account))
+            fields = {"name": name} | _nest_options(options)
+            created = _with_added(accounts, name, _convert(fields, Account))
             return _replace(configuration, accounts_by_name=created)
         case st.AlterAccount(name=name, options=options):
-            altered = _altered(_found(accounts, name, "account"), options)
+            altered = _alter_account(_require(accounts, name, "account"), options)
             return _replace(configuration, accounts_by_name=accounts | {name: altered})
         case st.DropAccount(name=name):
-            left = _without(accounts, name, "account")
-            return _replace(configuration, accounts_by_name=left)
+            remaining = _with_removed(accounts, name, "account")
+            return _replace(configuration, accounts_by_name=remaining)
         case st.CreatePool(name=name, kind=kind, model=model):
-            created = _added(pools, name, Pool(name, UpstreamKind(kind), model))
+            created = _with_added(pools, name, Pool(name, UpstreamKind(kind), model))
             return _replace(configuration, pools_by_name=created)
         case st.DropPool(name=name):
-            left = _without(pools, name, "pool")
-            return _replace(configuration, pools_by_name=left)
+            remaining = _with_removed(pools, name, "pool")
+            return _replace(configuration, pools_by_name=remaining)
         case st.CreateUpstream(name=name, options=options):
-            fields = {"name": name} | _nested(options)
-            created = _added(upstreams, name, _convert(fields, Upstream))
+            fields = {"name": name} | _nest_options(options)
+            created = _with_added(upstreams, name, _convert(fields, Upstream))
             return _replace(configuration, upstreams_by_name=created)
         case st.DropUpstream(name=name):
-            left = _without(upstreams, name, "upstream")
-            return _replace(configuration, upstreams_by_name=left)
+            remaining = _with_removed(upstreams, name, "upstream")
+            return _replace(configuration, upstreams_by_name=remaining)
         case st.SetDraining():
             return _set_draining(configuration, change)
     raise ServiceError(ErrorKind.BAD_REQUEST, "That is no change.")
@@ -72,7 +72,7 @@
         hosts = others | {change.name} if change.draining else others
         return _replace(configuration, draining_hosts=tuple(sorted(hosts)))
     upstreams = configuration.upstreams_by_name
-    upstream = _found(upstreams, change.name, "upstream")
+    upstream = _require(upstreams, change.name, "upstream")
     changed = _replace(upstream, draining=change.draining)
     return _replace(configuration, upstreams_by_name=upstreams | {change.name: changed})
 
@@ -80,13 +80,13 @@
 _replace = msgspec.structs.replace
 
 
-def _found(by_name, name, noun):
+def _require(by_name, name, noun):
     if name not in by_name:
         raise ServiceError(ErrorKind.NOT_FOUND, f"There is no {noun} {name}.")
     return by_name[name]
 
 
-def _added(by_name, name, item):
+def _with_added(by_name, name, item):
     if name in by_name:
         raise ServiceError(ErrorKind.BAD_REQUEST, f"{name} exists already.")
     if not NAME_PATTERN.fullmatch(name):
@@ -94,12 +94,12 @@
     return by_name | {name: item}
 
 
-def _without(by_name, name, noun):
-    _found(by_name, name, noun)
+def _with_removed(by_name, name, noun):
+    _require(by_name, name, noun)
     return {key: item for key, item in by_name.items() if key != name}
 
 
-def _nested(options):
+def _nest_options(options):
     fields = {}
     for option in options:
         section, _, field = option.name.rpartition(".")
@@ -110,9 +110,9 @@
     return fields
 
 
-def _altered(account, options):
+def _alter_account(account, options):
     fields = msgspec.to_builtins(account)
-    for name, value in _nested(options).items():
+    for name, value in _nest_options(options).items():
         fields[name] = fields[name] | value if isinstance(value, dict) else value
     return _convert(fields, Account)
 
@@ -137,14 +137,14 @@
     for name, account in configuration.accounts_by_name.items():
         other = account_by_token.setdefault(account.token_hash, name)
         if other != name:
-            _refuse(f"Accounts {other} and {name} have the same token.")
+            _reject(f"Accounts {other} and {name} have the same token.")
         for pool in account.pools:
             if pool not in configuration.pools_by_name:
-                _refuse(f"Account {name} uses pool {pool}, which does not exist.")
+                _reject(f"Account {name} uses pool {pool}, which does not exist.")
         if account.share < 1 or account.cut_off.share < 1:
-            _refuse(f"Account {name} needs shares of at least 1.")
+            _reject(f"Account {name} needs shares of at least 1.")
         if account.cut_off.staleness_bound > account.staleness_bound:
-            _refuse(
+            _reject(
                 f"Account {name} has a cut-off staleness bound above its "
                 f"staleness bound of {account.staleness_bound}."
             )
@@ -153,30 +153,30 @@
 def _check_pools(configuration):
     for name, pool in configuration.pools_by_name.items():
         if pool.kind == UpstreamKind.ENGINE and not pool.model:
-            _refuse(f"Pool {name} of engines needs a MODEL.")
+            _reject(f"Pool {name} of engines needs a MODEL.")
 
 
 def _check_upstreams(configuration):
-    upstream_by_place = {}
+    upstream_by_endpoint = {}
     for name, upstream in configuration.upstreams_by_name.items():
         if upstream.pool not in configuration.pools_by_name:
-            _refuse(
+            _reject(
                 f"Upstream {name} is in pool {upstream.pool}, which does not exist."
             )
-        if not _is_ip(upstream.address):
-            _refuse(f"Upstream {name} needs an IP address, not {upstream.address!r}.")
+        if not _is_ip_address(upstream.address):
+            _reject(f"Upstream {name} needs an IP address, not {upstream.address!r}.")
         if not 1 <= upstream.port <= MAX_PORT:
-            _refuse(f"Upstream {name} needs a port from 1 to {MAX_PORT}.")
+            _reject(f"Upstream {name} needs a port from 1 to {MAX_PORT}.")
         if upstream.slots < 1:
-            _refuse(f"Upstream {name} needs at least 1 slot.")
+            _reject(f"Upstream {name} needs at least 1 slot.")
         # Each of two names for one server would admit its own share of work.
-        place = (upstream.address, upstream.port)
-        other = upstream_by_place.setdefault(place, name)
+        endpoint = (upstream.address, upstream.port)
+        other = upstream_by_endpoint.setdefault(endpoint, name)
         if other != name:
-            _refuse(f"Upstreams {other} and {name} have the same address and port.")
+            _reject(f"Upstreams {other} and {name} have the same address and port.")
 
 
-def _is_ip(text):
+def _is_ip_address(text):
     try:
         ipaddress.ip_address(text)
     except ValueError:
@@ -184,5 +184,5 @@
     return True
 
 
-def _refuse(reason):
+def _reject(reason):
     raise ServiceError(ErrorKind.CONFIG_REFUSED, reason)
--- a/goldcrestmoor/language/executor.py
+++ b/goldcrestmoor/language/executor.py
@@ -66,9 +66,9 @@
         self._explainer = explainer
         self._load_version = load_version
         self._source_by_name = {}
-        self.add_source("accounts", self._accounts)
-        self.add_source("pools", self._pools)
-        self.add_source("version", self._version)
+        self.add_source("accounts", self._list_accounts)
+        self.add_source("pools", self._list_pools)
+        self.add_source("version", self._show_version)
 
     def add_source(self, name, source):
         """Register what ``SHOW`` shows for one subject.
@@ -99,7 +99,7 @@
         if script.base_version is not None:
             base_version = script.base_version
         apply = functools.partial(apply_changes, changes=script.statements)
-        return _outcome(await self._driver.change(base_version, apply))
+        return _to_outcome(await self._driver.change(base_version, apply))
 
     async def _show(self, show):
         source = self._source_by_name.get(show.subject)
@@ -124,11 +124,11 @@
         message = await self._load_version(order.model, order.version)
         return Outcome("done", order.version, message)
 
-    async def _accounts(self):
+    async def _list_accounts(self):
         accounts = self._lease.configuration.accounts_by_name
         return ACCOUNT_COLUMNS, [_account_row(accounts[name]) for name in accounts]
 
-    async def _pools(self):
+    async def _list_pools(self):
         configuration = self._lease.configuration
         rows = (
             (p.name, p.kind, p.model, len(configuration.upstreams_of(p.name)))
@@ -136,14 +136,14 @@
         )
         return POOL_COLUMNS, list(rows)
 
-    async def _version(self):
+    async def _show_version(self):
         try:
             platform_version = (await self._driver.read_current()).version
         except ServiceError:
             platform_version = "unknown"
         lease = self._lease
-        lapsed = lease.view().lease_expired
-        row = (platform_version, lease.version, lapsed, lease.lease_age_ms())
+        lease_expired = lease.view().lease_expired
+        row = (platform_version, lease.version, lease_expired, lease.lease_age_ms())
         return VERSION_COLUMNS, [row]
 
 
@@ -163,7 +163,7 @@
     )
 
 
-def _outcome(answer):
+def _to_outcome(answer):
     match answer:
         case Accepted(version=version, elapsed_ms=elapsed_ms):
             message = f"Version {version} is in force everywhere."
--- a/goldcrestmoor/language/explain.py
+++ b/goldcrestmoor/language/explain.py
@@ -9,7 +9,7 @@
 
 log = logging.getLogger("goldcrestmoor.language")
 
-MAX_HOSTS_ASKED = 16
+MAX_HOSTS_QUERIED = 16
 HOST_TIMEOUT_MS = 500
 EXPLAIN_TIMEOUT_MS = 5000
 
@@ -50,7 +50,7 @@
         self._membership = membership
         self._host_id = host_id
         self._zone = zone
-        links.register(ExplainRequest, self._on_ask)
+        links.register(ExplainRequest, self._on_explain_request)
 
     async def explain_request(self, request_id):
         """Return the decisions about one request, oldest first.
@@ -60,18 +60,18 @@
         """
         # A request's id names no host, and the hosts that took part in it are
         # almost always of one zone.
-        found = [self._own(request_id)]
+        explanations = [self._local_explanation(request_id)]
         deadline = Deadline.after(self._clock, EXPLAIN_TIMEOUT_MS)
         others = (record.id for record in self._membership.live(self._zone))
-        asked = sorted(host for host in others if host != self._host_id)
-        for host_id in asked[: MAX_HOSTS_ASKED - 1]:
+        host_ids = sorted(host for host in others if host != self._host_id)
+        for host_id in host_ids[: MAX_HOSTS_QUERIED - 1]:
             if deadline.passed():
                 break
             try:
-                found.append(await self._ask(host_id, request_id))
+                explanations.append(await self._query_host(host_id, request_id))
             except ServiceError as e:
                 log.info("Host %s explained nothing: %s", host_id, e)
-        pairs = ((e.host_id, d) for e in found for d in e.decisions)
+        pairs = ((e.host_id, d) for e in explanations for d in e.decisions)
         return sorted(pairs, key=lambda pair: pair[1].at_ms)
 
     async def explain_host(self, host_id):
@@ -82,25 +82,25 @@
         :raises ServiceError: when the host does not answer.
         """
         if host_id == self._host_id:
-            explanation = self._own("")
+            explanation = self._local_explanation("")
         else:
-            explanation = await self._ask(host_id, "")
+            explanation = await self._query_host(host_id, "")
         return [(host_id, decision) for decision in explanation.decisions]
 
-    async def _ask(self, host_id, request_id):
-        answer = await self._links.call(
+    async def _query_host(self, host_id, request_id):
+        reply = await self._links.call(
             host_id, ExplainRequest(request_id), HOST_TIMEOUT_MS
         )
-        if not isinstance(answer, Explanation):
+        if not isinstance(reply, Explanation):
             raise ServiceError(ErrorKind.PEER_UNREACHABLE, "No explanation came.")
-        return answer
+        return reply
 
-    def _own(self, request_id):
+    def _local_explanation(self, request_id):
         if request_id:
             decisions = self._decisions.for_request(request_id)
         else:
             decisions = self._decisions.recent()
         return Explanation(self._host_id, tuple(decisions))
 
-    async def _on_ask(self, sender_id, message):
-        return self._own(message.request_id)
+    async def _on_explain_request(self, sender_id, message):
+        return self._local_explanation(message.request_id)
--- a/goldcrestmoor/language/parser.py
+++ b/goldcrestmoor/language/parser.py
@@ -10,10 +10,10 @@
 from goldcrestmoor.language import statements as st
 
 MAX_TEXT_CHARS = 1_000_000
-HASH_CHARS = 64
-MAX_NAMED_EXPECTED = 8
-HEXADECIMAL = frozenset("0123456789abcdef")
-ALONE = (st.Show, st.Explain, st.LoadVersion)
+TOKEN_HASH_CHARS = 64
+MAX_EXPECTED_SHOWN = 8
+HEX_DIGITS = frozenset("0123456789abcdef")
+STANDALONE_STATEMENTS = (st.Show, st.Explain, st.LoadVersion)
 
 
 def parse(text):
@@ -30,8 +30,10 @@
     except lark.exceptions.VisitError as e:
         raise e.orig_exc from e
     except lark.exceptions.UnexpectedInput as e:
-        raise ServiceError(ErrorKind.BAD_REQUEST, _describe(e, text)) from e
-    return _script(parsed)
+        raise ServiceError(
+            ErrorKind.BAD_REQUEST, _describe_syntax_error(e, text)
+        ) from e
+    return _build_script(parsed)
 
 
 @functools.cache
@@ -40,9 +42,11 @@
     return lark.Lark(grammar.read_text(), parser="lalr", maybe_placeholders=False)
 
 
-def _script(parsed):
-    found = tuple(statement for statement, _ in parsed)
-    if len(found) > 1 and any(isinstance(s, ALONE) for s in found):
+def _build_script(parsed):
+    statements = tuple(statement for statement, _ in parsed)
+    if len(statements) > 1 and any(
+        isinstance(s, STANDALONE_STATEMENTS) for s in statements
+    ):
         raise ServiceError(
             ErrorKind.BAD_REQUEST, "Only changes of the configuration may be joined."
         )
@@ -51,43 +55,43 @@
         raise ServiceError(
             ErrorKind.BAD_REQUEST, "The changes name different base versions."
         )
-    return st.Script(found, bases.pop() if bases else None)
+    return st.Script(statements, bases.pop() if bases else None)
 
 
-def _describe(error, text):
+def _describe_syntax_error(error, text):
     match error:
         case lark.exceptions.UnexpectedToken(token=token) if token.type != "$END":
-            place = f"line {token.line}, column {token.column}"
+            position = f"line {token.line}, column {token.column}"
             found = f"unexpected '{token}'"
             expected = error.accepts or error.expected
         case lark.exceptions.UnexpectedCharacters():
-            place = f"line {error.line}, column {error.column}"
+            position = f"line {error.line}, column {error.column}"
             found = f"unexpected character {text[error.pos_in_stream]!r}"
             expected = error.allowed or ()
         case _:
             lines = text.split("\n")
-            place = f"line {len(lines)}, column {len(lines[-1]) + 1}"
+            position = f"line {len(lines)}, column {len(lines[-1]) + 1}"
             found = "the text ends too early"
             expected = error.expected
-    return f"At {place}: {found}{_expectation(expected)}."
+    return f"At {position}: {found}{_format_expected(expected)}."
 
 
-def _expectation(expected):
+def _format_expected(expected):
     names = sorted(name for name in expected if not name.startswith(("_", "$")))
     if not names:
         return ""
-    shown = ", ".join(names[:MAX_NAMED_EXPECTED])
-    more = ", ..." if len(names) > MAX_NAMED_EXPECTED else ""
+    shown = ", ".join(names[:MAX_EXPECTED_SHOWN])
+    more = ", ..." if len(names) > MAX_EXPECTED_SHOWN else ""
     return f"; expected {shown}{more}"
 
 
-def _stored_token(text):
-    if len(text) == HASH_CHARS and set(text) <= HEXADECIMAL:
+def _to_token_hash(text):
+    if len(text) == TOKEN_HASH_CHARS and set(text) <= HEX_DIGITS:
         return text
     return util.hash_token(text)
 
 
-def _option(name):
+def _option_builder(name):
     def build(self, children):
         return st.Option(name, children[-1])
 
@@ -101,11 +105,11 @@
         return int(token)
 
     def text(self, children):
-        return _unquoted(children[0])
+        return _unquote(children[0])
 
     def value(self, children):
         child = children[0]
-        return child if isinstance(child, int) else _unquoted(child)
+        return child if isinstance(child, int) else _unquote(child)
 
     def switch(self, children):
         return children[0].type == "ON"
@@ -114,18 +118,18 @@
         return str(children[0]).lower()
 
     def start(self, children):
-        found = [child for child in children if not isinstance(child, lark.Token)]
-        return [c if isinstance(c, tuple) else (c, None) for c in found]
+        statements = [child for child in children if not isinstance(child, lark.Token)]
+        return [c if isinstance(c, tuple) else (c, None) for c in statements]
 
     def condition(self, children):
         column, operator, value = children
         return st.Condition(column, str(operator), value)
 
     def where(self, children):
-        return {"conditions": tuple(_without_tokens(children))}
+        return {"conditions": tuple(_drop_tokens(children))}
 
     def order(self, children):
-        column = next(iter(_without_tokens(children)))
+        column = next(iter(_drop_tokens(children)))
         descending = children[-1] is not column
         return {"order_by": column, "descending": descending}
 
@@ -134,7 +138,7 @@
 
     def show(self, children):
         parts = {}
-        for part in _without_tokens(children):
+        for part in _drop_tokens(children):
             parts |= part
         return st.Show(st.Subject(children[1].lower()), **parts)
 
@@ -195,33 +199,33 @@
         return st.Option("kind", children[-1].lower())
 
     def token(self, children):
-        return st.Option("token_hash", _stored_token(children[-1]))
+        return st.Option("token_hash", _to_token_hash(children[-1]))
 
     def pools(self, children):
-        return st.Option("pools", tuple(_without_tokens(children)))
+        return st.Option("pools", tuple(_drop_tokens(children)))
 
     def on_version_change(self, children):
         return st.Option("delivery.on_version_change", children[-1].lower())
 
-    share = _option("share")
-    staleness = _option("staleness_bound")
-    zone = _option("zone")
-    hedge = _option("delivery.hedge")
-    cut_off_serve = _option("cut_off.serve")
-    cut_off_share = _option("cut_off.share")
-    cut_off_staleness = _option("cut_off.staleness_bound")
-    pool = _option("pool")
-    address = _option("address")
-    port = _option("port")
-    slots = _option("slots")
-    fencing = _option("fencing")
-
-
-def _unquoted(token):
+    share = _option_builder("share")
+    staleness = _option_builder("staleness_bound")
+    zone = _option_builder("zone")
+    hedge = _option_builder("delivery.hedge")
+    cut_off_serve = _option_builder("cut_off.serve")
+    cut_off_share = _option_builder("cut_off.share")
+    cut_off_staleness = _option_builder("cut_off.staleness_bound")
+    pool = _option_builder("pool")
+    address = _option_builder("address")
+    port = _option_builder("port")
+    slots = _option_builder("slots")
+    fencing = _option_builder("fencing")
+
+
+def _unquote(token):
     return token[1:-1] if token.type == "STRING" else str(token)
 
 
-def _without_tokens(children):
+def _drop_tokens(children):
     return [child for child in children if not isinstance(child, lark.Token)]
 
 
--- a/goldcrestmoor/language/routes.py
+++ b/goldcrestmoor/language/routes.py
@@ -16,10 +16,10 @@
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 BEARER = b"bearer "
-STATUS_OK = 200
+OK_STATUS = 200
 
 
-class Question(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class AskBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of a request to the operators' route.
 
     :param text: the operator's text.
@@ -42,11 +42,11 @@
     async def ask(request):
         try:
             _authenticate(request, operator_token_hash)
-            question = await _read(request)
-            answer = await executor.execute(question.text, question.base_version)
+            body_fields = await _read_body(request)
+            result = await executor.execute(body_fields.text, body_fields.base_version)
         except ServiceError as e:
             return _error_response(e)
-        return _json_response(_status(answer), answer)
+        return _json_response(_status(result), result)
 
     app.router.add_post("/operator/ask", ask)
 
@@ -56,13 +56,13 @@
     token = b""
     if value[: len(BEARER)].lower() == BEARER:
         token = value[len(BEARER) :].strip()
-    given = util.hash_token(token.decode("utf-8", "replace"))
-    same = hmac.compare_digest(given, operator_token_hash)
-    if not operator_token_hash or not same:
+    given_hash = util.hash_token(token.decode("utf-8", "replace"))
+    matches = hmac.compare_digest(given_hash, operator_token_hash)
+    if not operator_token_hash or not matches:
         raise ServiceError(ErrorKind.UNAUTHORIZED, "The operators' token is wrong.")
 
 
-async def _read(request):
+async def _read_body(request):
     length = request.get_first_header(b"Content-Length") or b"0"
     if length.isdigit() and int(length) > MAX_BODY_BYTES:
         raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
@@ -72,7 +72,7 @@
         if len(body) > MAX_BODY_BYTES:
             raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
     try:
-        return msgspec.json.decode(bytes(body), type=Question)
+        return msgspec.json.decode(bytes(body), type=AskBody)
     except msgspec.MsgspecError as e:
         raise ServiceError(ErrorKind.BAD_REQUEST, f"The body is wrong: {e}.") from e
 
@@ -80,7 +80,7 @@
 def _status(answer):
     if isinstance(answer, Outcome) and answer.code is not None:
         return ANSWER_BY_KIND[answer.code].status
-    return STATUS_OK
+    return OK_STATUS
 
 
 def _error_response(error):
--- a/goldcrestmoor/language/tables.py
+++ b/goldcrestmoor/language/tables.py
@@ -37,15 +37,17 @@
     :return: a :class:`Table`.
     :raises ServiceError: ``BAD_REQUEST`` when it names an unknown column.
     """
-    chosen = (tuple(plain(cell) for cell in row) for row in rows)
+    selected = (tuple(plain(cell) for cell in row) for row in rows)
     for condition in show.conditions:
-        chosen = _where(chosen, _index(columns, condition.column), condition)
+        selected = _filter_rows(
+            selected, _column_index(columns, condition.column), condition
+        )
     if show.order_by:
-        index = _index(columns, show.order_by)
-        chosen = sorted(
-            chosen, key=lambda row: _sort_key(row[index]), reverse=show.descending
+        index = _column_index(columns, show.order_by)
+        selected = sorted(
+            selected, key=lambda row: _sort_key(row[index]), reverse=show.descending
         )
-    return Table(tuple(columns), tuple(itertools.islice(chosen, show.limit)))
+    return Table(tuple(columns), tuple(itertools.islice(selected, show.limit)))
 
 
 def plain(cell):
@@ -65,14 +67,14 @@
     return str(cell)
 
 
-def _where(rows, index, condition):
+def _filter_rows(rows, index, condition):
     compare = COMPARE_BY_OPERATOR[condition.operator]
     for row in rows:
         if compare(*_comparable(row[index], condition.value)):
             yield row
 
 
-def _index(columns, name):
+def _column_index(columns, name):
     try:
         return list(columns).index(name)
     except ValueError:
