--- a/goldcrestmoor/language/__init__.py
+++ b/goldcrestmoor/language/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' query and command language."""
+"""Operator query and command language."""
--- a/goldcrestmoor/language/changes.py
+++ b/goldcrestmoor/language/changes.py
@@ -1,4 +1,4 @@
-"""What each change does to a configuration, and what a sound one is."""
+"""Apply configuration changes and validate the resulting configuration."""
 
 import ipaddress
 import re
@@ -19,13 +19,13 @@
 
 
 def apply_changes(configuration, changes):
-    """Return a configuration with changes made to it, all or none.
+    """Apply changes to a configuration atomically and return the result.
 
-    :param configuration: the configuration that they are made to.
+    :param configuration: the configuration to change.
     :param changes: statements, applied in order.
-    :return: the new configuration, with the version of the old one.
-    :raises ServiceError: ``BAD_REQUEST`` or ``NOT_FOUND`` when one makes no sense,
-        ``CONFIG_REFUSED`` when the result contradicts itself.
+    :return: the new configuration, with the version number unchanged.
+    :raises ServiceError: ``BAD_REQUEST`` or ``NOT_FOUND`` when a change is invalid,
+        ``CONFIG_REFUSED`` when the result is inconsistent.
     """
     for change in changes:
         configuration = _apply(configuration, change)
@@ -63,7 +63,9 @@
             return _replace(configuration, upstreams_by_name=remaining)
         case st.SetDraining():
             return _set_draining(configuration, change)
-    raise ServiceError(ErrorKind.BAD_REQUEST, "That is no change.")
+    raise ServiceError(
+        ErrorKind.BAD_REQUEST, "The statement is not a configuration change."
+    )
 
 
 def _set_draining(configuration, change):
@@ -88,9 +90,9 @@
 
 def _with_added(by_name, name, item):
     if name in by_name:
-        raise ServiceError(ErrorKind.BAD_REQUEST, f"{name} exists already.")
+        raise ServiceError(ErrorKind.BAD_REQUEST, f"{name} already exists.")
     if not NAME_PATTERN.fullmatch(name):
-        raise ServiceError(ErrorKind.BAD_REQUEST, f"{name!r} is not a good name.")
+        raise ServiceError(ErrorKind.BAD_REQUEST, f"{name!r} is not a valid name.")
     return by_name | {name: item}
 
 
@@ -105,7 +107,9 @@
         section, _, field = option.name.rpartition(".")
         target = fields.setdefault(section, {}) if section else fields
         if field in target:
-            raise ServiceError(ErrorKind.BAD_REQUEST, f"{option.name} is given twice.")
+            raise ServiceError(
+                ErrorKind.BAD_REQUEST, f"{option.name} is specified twice."
+            )
         target[field] = option.value
     return fields
 
@@ -142,7 +146,7 @@
             if pool not in configuration.pools_by_name:
                 _reject(f"Account {name} uses pool {pool}, which does not exist.")
         if account.share < 1 or account.cut_off.share < 1:
-            _reject(f"Account {name} needs shares of at least 1.")
+            _reject(f"Account {name} must have shares of at least 1.")
         if account.cut_off.staleness_bound > account.staleness_bound:
             _reject(
                 f"Account {name} has a cut-off staleness bound above its "
@@ -153,7 +157,7 @@
 def _check_pools(configuration):
     for name, pool in configuration.pools_by_name.items():
         if pool.kind == UpstreamKind.ENGINE and not pool.model:
-            _reject(f"Pool {name} of engines needs a MODEL.")
+            _reject(f"Engine pool {name} requires a MODEL.")
 
 
 def _check_upstreams(configuration):
@@ -164,12 +168,14 @@
                 f"Upstream {name} is in pool {upstream.pool}, which does not exist."
             )
         if not _is_ip_address(upstream.address):
-            _reject(f"Upstream {name} needs an IP address, not {upstream.address!r}.")
+            _reject(
+                f"Upstream {name} requires an IP address, got {upstream.address!r}."
+            )
         if not 1 <= upstream.port <= MAX_PORT:
-            _reject(f"Upstream {name} needs a port from 1 to {MAX_PORT}.")
+            _reject(f"Upstream {name} requires a port from 1 to {MAX_PORT}.")
         if upstream.slots < 1:
-            _reject(f"Upstream {name} needs at least 1 slot.")
-        # Each of two names for one server would admit its own share of work.
+            _reject(f"Upstream {name} requires at least 1 slot.")
+        # Two upstreams for one server would each admit work up to their own slot limit.
         endpoint = (upstream.address, upstream.port)
         other = upstream_by_endpoint.setdefault(endpoint, name)
         if other != name:
--- a/goldcrestmoor/language/executor.py
+++ b/goldcrestmoor/language/executor.py
@@ -1,4 +1,4 @@
-"""Carry out an operator's text: questions, orders and changes."""
+"""Execute operator scripts: queries, load orders and configuration changes."""
 
 import functools
 
@@ -34,12 +34,13 @@
 
 
 class Outcome(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What became of a change or an order.
+    """The outcome of a configuration change or a load order.
 
     :param outcome: ``accepted``, ``refused``, ``unknown`` or ``done``.
-    :param version: the version made, or the current one when refused.
-    :param message: a sentence for people.
-    :param code: the kind of error when it was not accepted.
+    :param version: the new configuration version, the current one when refused, or
+        the weight version of a load order.
+    :param message: a human-readable description.
+    :param code: the error kind if the change was not accepted.
     """
 
     outcome: str
@@ -49,13 +50,14 @@
 
 
 class Executor:
-    """Carry out operators' texts on this host.
+    """Execute operator scripts on this host.
 
     :param driver: the configuration driver.
     :param lease: this host's configuration lease.
     :param explainer: the :class:`~goldcrestmoor.language.explain.Explainer`.
-    :param load_version: has all engines of a model load a version: async, takes the
-        model and the version and returns a sentence; none by default.
+    :param load_version: async callback that makes all engines of a model load a
+        version; takes the model and the version and returns a message. Without it,
+        load orders are rejected.
     """
 
     __slots__ = ("_driver", "_lease", "_explainer", "_load_version", "_source_by_name")
@@ -71,22 +73,23 @@
         self.add_source("version", self._show_version)
 
     def add_source(self, name, source):
-        """Register what ``SHOW`` shows for one subject.
+        """Register the data source of a ``SHOW`` subject.
 
         :param name: the subject, such as ``upstreams``.
-        :param source: async, takes nothing and returns the columns and the rows.
+        :param source: async callable without arguments that returns columns and rows.
         """
         self._source_by_name[name] = source
 
     async def execute(self, text, base_version=None):
-        """Carry out a text.
+        """Execute an operator script.
 
-        :param text: the text.
-        :param base_version: the version that its changes were written against, when
-            the text does not say.
+        :param text: the script.
+        :param base_version: the configuration version that the changes are based on;
+            ``AT VERSION`` in the script takes precedence.
         :return: a :class:`~goldcrestmoor.language.tables.Table` or an
             :class:`Outcome`.
-        :raises ServiceError: when the text or a question fails.
+        :raises ServiceError: when the script is malformed, or a query or load order
+            fails.
         """
         script = parse(text)
         match script.statements:
@@ -105,7 +108,7 @@
         source = self._source_by_name.get(show.subject)
         if source is None:
             raise ServiceError(
-                ErrorKind.NOT_FOUND, f"This host knows no {show.subject}."
+                ErrorKind.NOT_FOUND, f"This host has no data on {show.subject}."
             )
         columns, rows = await source()
         return tables.select(columns, rows, show)
@@ -120,7 +123,9 @@
 
     async def _load(self, order):
         if self._load_version is None:
-            raise ServiceError(ErrorKind.NOT_FOUND, "This host gives no orders.")
+            raise ServiceError(
+                ErrorKind.NOT_FOUND, "This host does not send load orders."
+            )
         message = await self._load_version(order.model, order.version)
         return Outcome("done", order.version, message)
 
@@ -166,11 +171,13 @@
 def _to_outcome(answer):
     match answer:
         case Accepted(version=version, elapsed_ms=elapsed_ms):
-            message = f"Version {version} is in force everywhere."
+            message = f"Version {version} is in effect everywhere."
             message += f" It took {elapsed_ms} ms."
             return Outcome("accepted", version, message)
         case Refused(reason=reason, version=version, kind=kind):
             return Outcome("refused", version, reason, kind)
         case Unknown(message=message):
             return Outcome("unknown", 0, message, ErrorKind.CONFIG_UNKNOWN)
-    raise ServiceError(ErrorKind.INTERNAL, "The driver's answer is unknown.")
+    raise ServiceError(
+        ErrorKind.INTERNAL, "The configuration driver returned an unexpected result."
+    )
--- a/goldcrestmoor/language/explain.py
+++ b/goldcrestmoor/language/explain.py
@@ -1,4 +1,4 @@
-"""Why something was done: decisions of this host and of its peers."""
+"""Collect logged decisions of this host and its peers for ``EXPLAIN``."""
 
 import logging
 
@@ -15,9 +15,9 @@
 
 
 class ExplainRequest(Message, frozen=True):
-    """Ask a host for its decisions.
+    """Request a host's logged decisions.
 
-    :param request_id: about this request; empty for the host's last ones.
+    :param request_id: the request to explain; empty for the most recent decisions.
     """
 
     request_id: str
@@ -31,12 +31,12 @@
 
 
 class Explainer:
-    """Collect decisions from the hosts that may have made them.
+    """Collects decisions from this host and the peers that may have made them.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param decisions: this host's decisions.
+    :param decisions: this host's decision log.
     :param links: the peer links.
-    :param membership: the hosts that this host believes alive.
+    :param membership: the hosts that this host considers alive.
     :param host_id: this host's id.
     :param zone: this host's availability zone.
     """
@@ -58,8 +58,8 @@
         :param request_id: the request.
         :return: pairs of a host's id and a decision.
         """
-        # A request's id names no host, and the hosts that took part in it are
-        # almost always of one zone.
+        # A request id does not identify a host. The hosts that handle a request are
+        # almost always in one zone, so only this zone is queried.
         explanations = [self._local_explanation(request_id)]
         deadline = Deadline.after(self._clock, EXPLAIN_TIMEOUT_MS)
         others = (record.id for record in self._membership.live(self._zone))
@@ -70,16 +70,16 @@
             try:
                 explanations.append(await self._query_host(host_id, request_id))
             except ServiceError as e:
-                log.info("Host %s explained nothing: %s", host_id, e)
+                log.info("Host %s returned no explanation: %s", host_id, e)
         pairs = ((e.host_id, d) for e in explanations for d in e.decisions)
         return sorted(pairs, key=lambda pair: pair[1].at_ms)
 
     async def explain_host(self, host_id):
-        """Return a host's last decisions, oldest first.
+        """Return a host's most recent decisions, oldest first.
 
         :param host_id: the host.
-        :return: pairs of its id and a decision.
-        :raises ServiceError: when the host does not answer.
+        :return: pairs of the host's id and a decision.
+        :raises ServiceError: when the host does not reply.
         """
         if host_id == self._host_id:
             explanation = self._local_explanation("")
@@ -92,7 +92,10 @@
             host_id, ExplainRequest(request_id), HOST_TIMEOUT_MS
         )
         if not isinstance(reply, Explanation):
-            raise ServiceError(ErrorKind.PEER_UNREACHABLE, "No explanation came.")
+            raise ServiceError(
+                ErrorKind.PEER_UNREACHABLE,
+                "The host did not reply with an explanation.",
+            )
         return reply
 
     def _local_explanation(self, request_id):
--- a/goldcrestmoor/language/parser.py
+++ b/goldcrestmoor/language/parser.py
@@ -1,4 +1,4 @@
-"""From an operator's text to statements."""
+"""Parse operator scripts into statements."""
 
 import functools
 from importlib import resources
@@ -17,14 +17,15 @@
 
 
 def parse(text):
-    """Return what a text says.
+    """Parse an operator script.
 
-    :param text: the operator's text.
+    :param text: the script.
     :return: a :class:`~goldcrestmoor.language.statements.Script`.
-    :raises ServiceError: ``BAD_REQUEST`` with the line and column of the fault.
+    :raises ServiceError: ``BAD_REQUEST`` with the line and column of the error;
+        ``TOO_LARGE`` when the script is too long.
     """
     if len(text) > MAX_TEXT_CHARS:
-        raise ServiceError(ErrorKind.TOO_LARGE, "The text is too long.")
+        raise ServiceError(ErrorKind.TOO_LARGE, "The script is too long.")
     try:
         parsed = _builder.transform(_parser().parse(text))
     except lark.exceptions.VisitError as e:
@@ -48,12 +49,12 @@
         isinstance(s, STANDALONE_STATEMENTS) for s in statements
     ):
         raise ServiceError(
-            ErrorKind.BAD_REQUEST, "Only changes of the configuration may be joined."
+            ErrorKind.BAD_REQUEST, "Only configuration changes may be combined."
         )
     bases = {base for _, base in parsed if base is not None}
     if len(bases) > 1:
         raise ServiceError(
-            ErrorKind.BAD_REQUEST, "The changes name different base versions."
+            ErrorKind.BAD_REQUEST, "The changes specify different base versions."
         )
     return st.Script(statements, bases.pop() if bases else None)
 
@@ -71,7 +72,7 @@
         case _:
             lines = text.split("\n")
             position = f"line {len(lines)}, column {len(lines[-1]) + 1}"
-            found = "the text ends too early"
+            found = "unexpected end of script"
             expected = error.expected
     return f"At {position}: {found}{_format_expected(expected)}."
 
@@ -99,7 +100,7 @@
 
 
 class _Builder(lark.Transformer):
-    """Build statements from the parse tree, from the leaves up."""
+    """Builds statements from the parse tree, bottom-up."""
 
     def INT(self, token):  # noqa: N802
         return int(token)
--- a/goldcrestmoor/language/routes.py
+++ b/goldcrestmoor/language/routes.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP route."""
+"""HTTP route for operators."""
 
 import hmac
 import logging
@@ -20,10 +20,10 @@
 
 
 class AskBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a request to the operators' route.
+    """The request body of ``POST /operator/ask``.
 
-    :param text: the operator's text.
-    :param base_version: the version that its changes were written against.
+    :param text: the operator script.
+    :param base_version: the configuration version that the changes are based on.
     """
 
     text: str
@@ -31,12 +31,12 @@
 
 
 def register_routes(app, *, executor, operator_token_hash):
-    """Add ``POST /operator/ask`` to an application.
+    """Register ``POST /operator/ask`` on an application.
 
     :param app: the blacksheep application.
     :param executor: the :class:`~goldcrestmoor.language.executor.Executor`.
-    :param operator_token_hash: SHA-256 of the operators' token, in hexadecimal;
-        nobody is let in when it is empty.
+    :param operator_token_hash: SHA-256 of the operator token, in hexadecimal;
+        all requests are rejected when it is empty.
     """
 
     async def ask(request):
@@ -59,22 +59,24 @@
     given_hash = util.hash_token(token.decode("utf-8", "replace"))
     matches = hmac.compare_digest(given_hash, operator_token_hash)
     if not operator_token_hash or not matches:
-        raise ServiceError(ErrorKind.UNAUTHORIZED, "The operators' token is wrong.")
+        raise ServiceError(ErrorKind.UNAUTHORIZED, "The operator token is invalid.")
 
 
 async def _read_body(request):
     length = request.get_first_header(b"Content-Length") or b"0"
     if length.isdigit() and int(length) > MAX_BODY_BYTES:
-        raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
+        raise ServiceError(ErrorKind.TOO_LARGE, "The request body is too large.")
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
         if len(body) > MAX_BODY_BYTES:
-            raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
+            raise ServiceError(ErrorKind.TOO_LARGE, "The request body is too large.")
     try:
         return msgspec.json.decode(bytes(body), type=AskBody)
     except msgspec.MsgspecError as e:
-        raise ServiceError(ErrorKind.BAD_REQUEST, f"The body is wrong: {e}.") from e
+        raise ServiceError(
+            ErrorKind.BAD_REQUEST, f"The request body is invalid: {e}."
+        ) from e
 
 
 def _status(answer):
--- a/goldcrestmoor/language/statements.py
+++ b/goldcrestmoor/language/statements.py
@@ -1,4 +1,4 @@
-"""The statements of the operators' language, parsed."""
+"""Parsed statements of the operator language."""
 
 import enum
 from typing import Literal
@@ -7,7 +7,7 @@
 
 
 class Subject(enum.StrEnum):
-    """What ``SHOW`` can show."""
+    """The subjects of ``SHOW``."""
 
     UPSTREAMS = "upstreams"
     HOSTS = "hosts"
@@ -20,11 +20,11 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """One comparison of a ``WHERE`` part.
+    """One comparison in a ``WHERE`` clause.
 
     :param column: the column's name.
     :param operator: one of ``= != < <= > >=``.
-    :param value: what the column is compared with.
+    :param value: the value to compare the column with.
     """
 
     column: str
@@ -36,10 +36,10 @@
     """``SHOW``: rows of one subject.
 
     :param subject: what to show.
-    :param conditions: all of them must hold.
-    :param order_by: the column to sort by; empty for the source's own order.
-    :param descending: whether the largest comes first.
-    :param limit: the most rows to show; None for all.
+    :param conditions: row filters, combined with ``AND``.
+    :param order_by: the column to sort by; empty for the order of the source.
+    :param descending: whether to sort in descending order.
+    :param limit: the maximum number of rows; None for all.
     """
 
     subject: Subject
@@ -53,7 +53,7 @@
     """``EXPLAIN``: the decisions about one request or host.
 
     :param subject: ``request`` or ``host``.
-    :param name: its id.
+    :param name: the id of the request or host.
     """
 
     subject: Literal["request", "host"]
@@ -61,10 +61,10 @@
 
 
 class Option(msgspec.Struct, frozen=True):
-    """One option of an account or upstream, as it was written.
+    """One option of an account or upstream, as specified in the script.
 
-    :param name: the field, or ``cut_off.`` and a field of its terms, or
-        ``delivery.`` and a field of its rules.
+    :param name: the field's name; fields of an account's cut-off terms and delivery
+        rules are prefixed with ``cut_off.`` and ``delivery.``.
     :param value: the field's new value.
     """
 
@@ -123,8 +123,8 @@
     """``DRAIN`` and ``RESUME``.
 
     :param subject: ``upstream`` or ``host``.
-    :param name: its name.
-    :param draining: whether it is to receive no new work.
+    :param name: the name of the upstream or host.
+    :param draining: whether to stop sending it new work.
     """
 
     subject: Literal["upstream", "host"]
@@ -133,18 +133,18 @@
 
 
 class LoadVersion(msgspec.Struct, frozen=True):
-    """``LOAD VERSION``: have every engine of a model load a weight version."""
+    """``LOAD VERSION``: make every engine of a model load a weight version."""
 
     model: str
     version: int
 
 
 class Script(msgspec.Struct, frozen=True):
-    """One text: a single question or order, or several changes.
+    """A parsed script: a single query or load order, or one or more changes.
 
     :param statements: the statements, in order.
-    :param base_version: the version that the changes were written against; None
-        when the text does not say.
+    :param base_version: the configuration version that the changes are based on;
+        None when the script does not specify one.
     """
 
     statements: tuple[object, ...]
--- a/goldcrestmoor/language/tables.py
+++ b/goldcrestmoor/language/tables.py
@@ -1,4 +1,4 @@
-"""Tables of rows: filtered, sorted and cut as an operator asks."""
+"""Filter, sort and limit the rows of ``SHOW`` results."""
 
 import itertools
 import operator
@@ -21,7 +21,7 @@
     """Rows under named columns.
 
     :param columns: the columns' names.
-    :param rows: the rows, each with one plain value a column.
+    :param rows: the rows, each with one text or number per column.
     """
 
     columns: tuple[str, ...]
@@ -29,13 +29,13 @@
 
 
 def select(columns, rows, show):
-    """Return the rows that a question asks for.
+    """Return the rows that a ``SHOW`` statement selects.
 
     :param columns: the columns' names.
     :param rows: the rows.
     :param show: a :class:`~goldcrestmoor.language.statements.Show`.
     :return: a :class:`Table`.
-    :raises ServiceError: ``BAD_REQUEST`` when it names an unknown column.
+    :raises ServiceError: ``BAD_REQUEST`` when the statement names an unknown column.
     """
     selected = (tuple(plain(cell) for cell in row) for row in rows)
     for condition in show.conditions:
@@ -51,9 +51,9 @@
 
 
 def plain(cell):
-    """Return a cell as text or a number.
+    """Convert a cell to text or a number.
 
-    :param cell: any value that a source gives.
+    :param cell: any value returned by a source.
     """
     match cell:
         case None:
@@ -80,7 +80,7 @@
     except ValueError:
         raise ServiceError(
             ErrorKind.BAD_REQUEST,
-            f"There is no column {name}; there are {', '.join(columns)}.",
+            f"Unknown column {name}; the columns are {', '.join(columns)}.",
         ) from None
 
 
