--- a/goldcrestmoor/load/applications.py
+++ b/goldcrestmoor/load/applications.py
@@ -8,7 +8,7 @@
 from goldcrestmoor.request.completion_format import CompletionRequest
 
 FETCH_TIMEOUT_MS = 10_000
-ANSWER_MARGIN_MS = 1000
+RESPONSE_MARGIN_MS = 1000
 
 
 async def fetch(http, url, token, pool, path):
@@ -34,8 +34,10 @@
     :param entry: the :class:`~goldcrestmoor.load.trace.Completion`.
     :raises ServiceError: what was answered, or what became of the connection.
     """
-    asked = CompletionRequest(entry.pool, entry.prompt, entry.max_tokens, entry.seed)
-    body = msgspec.json.encode(asked)
+    completion_request = CompletionRequest(
+        entry.pool, entry.prompt, entry.max_tokens, entry.seed
+    )
+    body = msgspec.json.encode(completion_request)
     return await _send(
         http, url, token, "POST", "/v1/completions", body, entry.timeout_ms
     )
@@ -58,7 +60,7 @@
         target,
         headers,
         body,
-        timeout_ms + ANSWER_MARGIN_MS,
+        timeout_ms + RESPONSE_MARGIN_MS,
         idempotent=method == "GET",
     )
     return checked(response)
--- a/goldcrestmoor/load/costs.py
+++ b/goldcrestmoor/load/costs.py
@@ -10,7 +10,7 @@
 BYTES_PER_MB = 1_000_000
 
 
-async def read(http, url):
+async def read_metrics(http, url):
     """Return the sums of one daemon's metrics by name.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
@@ -35,7 +35,7 @@
     return sum_by_name
 
 
-def difference(url, before, after):
+def compute_cost(url, before, after):
     """Return what a daemon spent between two readings.
 
     :param url: the host.
@@ -43,12 +43,12 @@
     :param after: the second reading.
     """
 
-    def spent(name):
+    def increase(name):
         return after.get(name, 0) - before.get(name, 0)
 
     return DaemonCost(
         url=url,
-        cpu_s=spent("process_cpu_seconds_total"),
+        cpu_s=increase("process_cpu_seconds_total"),
         resident_mb=after.get("process_resident_memory_bytes", 0) / BYTES_PER_MB,
-        control_bytes=int(spent("goldcrestmoor_control_bytes_total")),
+        control_bytes=int(increase("goldcrestmoor_control_bytes_total")),
     )
--- a/goldcrestmoor/load/fleet_control.py
+++ b/goldcrestmoor/load/fleet_control.py
@@ -43,14 +43,14 @@
         :raises ServiceError: when the runner does not do it.
         """
         body = msgspec.json.encode({"action": fault.action, "target": fault.target})
-        await self._ask("POST", "/faults", body)
+        await self._request("POST", "/faults", body)
 
     async def runs(self):
         """Return the :class:`Runs` of the upstreams so far."""
-        response = await self._ask("GET", "/runs", b"")
+        response = await self._request("GET", "/runs", b"")
         return msgspec.json.decode(response.body, type=Runs)
 
-    async def _ask(self, method, target, body):
+    async def _request(self, method, target, body):
         response = await self._http.request(
             self._address,
             self._port,
--- a/goldcrestmoor/load/generate.py
+++ b/goldcrestmoor/load/generate.py
@@ -119,7 +119,7 @@
 )
 
 
-def make(deployment, scenario, seed):
+def make_trace(deployment, scenario, seed):
     """Return a trace's head and entries.
 
     :param deployment: a :class:`Deployment`.
@@ -135,7 +135,7 @@
     )
     entries = [
         *_steps(deployment, scenario, rng),
-        *_publishing(deployment, scenario),
+        *_publishes(deployment, scenario),
         *_fetches(deployment, rng),
         *_notes(deployment, scenario, rng),
         *_completions(deployment, scenario, rng),
@@ -145,24 +145,24 @@
 
 
 def _outcomes(deployment, scenario):
-    is_quiet = scenario in ("calm", "straggler", "weights", "shares")
+    allows_no_failures = scenario in ("calm", "straggler", "weights", "shares")
     return Outcomes(
         notes_lost_percent=None if scenario == "cut" else 0,
         staleness_max=deployment.staleness_bound,
-        fetch_failed_percent=0 if is_quiet else None,
-        completion_failed_percent=0 if is_quiet else None,
+        fetch_failed_percent=0 if allows_no_failures else None,
+        completion_failed_percent=0 if allows_no_failures else None,
     )
 
 
 def _steps(deployment, scenario, rng):
-    yield from _steps_of(deployment, scenario, rng, deployment.trainer)
+    yield from _account_steps(deployment, scenario, rng, deployment.trainer)
     if scenario == "shares":
         for account in deployment.other_trainers:
             samples = OTHER_TRAINER_SAMPLES
-            yield from _steps_of(deployment, scenario, rng, account, samples)
+            yield from _account_steps(deployment, scenario, rng, account, samples)
 
 
-def _steps_of(deployment, scenario, rng, account, samples=None):
+def _account_steps(deployment, scenario, rng, account, samples=None):
     publishes = scenario in ("calm", "crash", "cut", "outage", "burst")
     for number in range(1, STEPS + 1):
         yield Step(
@@ -180,19 +180,19 @@
     max_tokens = SHARED_MAX_TOKENS if scenario == "shares" else MAX_TOKENS
     for number in range(deployment.groups):
         yield Group(
-            prompt=f"Group {number}: " + " ".join(_words(rng, PROMPT_WORDS)),
+            prompt=f"Group {number}: " + " ".join(_random_words(rng, PROMPT_WORDS)),
             samples=samples or deployment.samples,
             max_tokens=max_tokens,
             seed=rng.randrange(1 << 30),
         )
 
 
-def _words(rng, count):
+def _random_words(rng, count):
     for _ in range(count):
         yield "".join(rng.choice("abcdefghijklmnop") for _ in range(5))
 
 
-def _publishing(deployment, scenario):
+def _publishes(deployment, scenario):
     """Publish while a step is under way, as an asynchronous trainer does."""
     if scenario != "weights":
         return
@@ -202,13 +202,13 @@
 
 
 def _fetches(deployment, rng):
-    for at_ms in _times(deployment.fetches_per_s, rng):
+    for at_ms in _arrival_times(deployment.fetches_per_s, rng):
         path = f"/panels/{rng.randrange(200)}"
         yield Fetch(at_ms, deployment.application, deployment.application_pool, path)
 
 
 def _notes(deployment, scenario, rng):
-    for number, at_ms in enumerate(_times(deployment.notes_per_s, rng)):
+    for number, at_ms in enumerate(_arrival_times(deployment.notes_per_s, rng)):
         body = f"note-{scenario}-{number}-{rng.randrange(1 << 30)}"
         yield Note(
             at_ms, deployment.application, deployment.application_pool, "/notes", body
@@ -217,23 +217,23 @@
 
 def _completions(deployment, scenario, rng):
     factor = BURST_FACTOR if scenario == "burst" else 1
-    for at_ms in _times(deployment.completions_per_s, rng, factor):
+    for at_ms in _arrival_times(deployment.completions_per_s, rng, factor):
         yield Completion(
             at_ms=at_ms,
             account=deployment.application,
             pool=deployment.engine_pool,
-            prompt=" ".join(_words(rng, PROMPT_WORDS)),
+            prompt=" ".join(_random_words(rng, PROMPT_WORDS)),
             max_tokens=COMPLETION_TOKENS,
             seed=rng.randrange(1 << 30),
             timeout_ms=COMPLETION_TIMEOUT_MS,
         )
 
 
-def _times(rate_per_s, rng, burst_factor=1):
+def _arrival_times(rate_per_s, rng, burst_factor=1):
     at_ms = 0.0
     while True:
-        busy = DURATION_MS / 6 < at_ms < DURATION_MS / 2
-        rate = rate_per_s * (burst_factor if busy else 1)
+        in_burst = DURATION_MS / 6 < at_ms < DURATION_MS / 2
+        rate = rate_per_s * (burst_factor if in_burst else 1)
         at_ms += rng.expovariate(rate) * MS_PER_SECOND
         if at_ms >= DURATION_MS * ARRIVALS_PERCENT / PERCENT:
             return
@@ -262,11 +262,11 @@
     """Write every trace below the directory that the first argument names."""
     directory = pathlib.Path(sys.argv[1])
     for deployment in DEPLOYMENT_BY_NAME.values():
-        folder = directory / deployment.name
-        folder.mkdir(parents=True, exist_ok=True)
+        deployment_directory = directory / deployment.name
+        deployment_directory.mkdir(parents=True, exist_ok=True)
         for scenario in SCENARIOS:
-            head, entries = make(deployment, scenario, DEFAULT_SEED)
-            trace.write(folder / f"{scenario}.jsonl", head, entries)
+            head, entries = make_trace(deployment, scenario, DEFAULT_SEED)
+            trace.write(deployment_directory / f"{scenario}.jsonl", head, entries)
 
 
 if __name__ == "__main__":
--- a/goldcrestmoor/load/player.py
+++ b/goldcrestmoor/load/player.py
@@ -86,9 +86,10 @@
         self._started_ms = self._clock.now_ms()
         steps = [entry for entry in entries if isinstance(entry, Step)]
         accounts = dict.fromkeys(step.account for step in steps)
-        self._trainer_by_account = {name: self._trainer(name) for name in accounts}
+        self._trainer_by_account = {name: self._make_trainer(name) for name in accounts}
         trainers = [
-            asyncio.create_task(self._train(account, steps)) for account in accounts
+            asyncio.create_task(self._run_trainer(account, steps))
+            for account in accounts
         ]
         tasks = TaskGroup()
         pending = [
@@ -107,7 +108,7 @@
     async def _wait_until(self, at_ms):
         await self._clock.sleep_ms(self._started_ms + at_ms - self._clock.now_ms())
 
-    def _elapsed_ms(self, at_ms):
+    def _latency_ms(self, at_ms):
         return self._clock.now_ms() - self._started_ms - at_ms
 
     async def _play(self, entry, number):
@@ -115,7 +116,7 @@
             case Fetch():
                 await self._fetch(entry, number)
             case Note():
-                await self._save(entry)
+                await self._save_note(entry)
             case Completion():
                 await self._complete(entry, number)
             case Publish():
@@ -132,21 +133,21 @@
         except ServiceError as e:
             self.tally.fetch_failed += 1
             self.tally.errors_by_kind[e.code] += 1
-        self.tally.fetch.record(self._elapsed_ms(entry.at_ms))
+        self.tally.fetch.record(self._latency_ms(entry.at_ms))
 
     async def _complete(self, entry, number):
         url = self._urls[number % len(self._urls)]
         token = self._token_by_account[entry.account]
         try:
             body = await complete(self._http, url, token, entry)
-            answer = msgspec.json.decode(body, type=CompletionResponse)
-            self.tally.tokens_delivered += answer.usage.completion_tokens
+            response = msgspec.json.decode(body, type=CompletionResponse)
+            self.tally.tokens_delivered += response.usage.completion_tokens
         except ServiceError as e:
             self.tally.completion_failed += 1
             self.tally.errors_by_kind[e.code] += 1
-        self.tally.completion.record(self._elapsed_ms(entry.at_ms))
+        self.tally.completion.record(self._latency_ms(entry.at_ms))
 
-    async def _save(self, entry):
+    async def _save_note(self, entry):
         self.tally.notes_asked += 1
         client = self._notes_by_account.get(entry.account)
         if client is None:
@@ -156,10 +157,10 @@
         path = f"/apps/{entry.pool}{entry.path}"
         # The application counts its runs by this name, which makes it the witness.
         headers = [(NOTE_HEADER, entry.body.encode())]
-        saved = await client.save(path, entry.body.encode(), NOTE_TIMEOUT_MS, headers)
-        self.tally.notes_saved += saved.outcome == Outcome.SAVED
-        self.tally.notes_unknown += saved.outcome == Outcome.UNKNOWN
-        self.tally.note.record(self._elapsed_ms(entry.at_ms))
+        result = await client.save(path, entry.body.encode(), NOTE_TIMEOUT_MS, headers)
+        self.tally.notes_saved += result.outcome == Outcome.SAVED
+        self.tally.notes_unknown += result.outcome == Outcome.UNKNOWN
+        self.tally.note.record(self._latency_ms(entry.at_ms))
 
     async def _inject(self, fault):
         if self._control is None:
@@ -170,7 +171,7 @@
         log.info("Injecting %s on %s.", fault.action, fault.target)
         await self._control.inject(fault)
 
-    def _trainer(self, account):
+    def _make_trainer(self, account):
         client = TrainerClient(
             self._urls,
             self._token_by_account[account],
@@ -180,7 +181,7 @@
         client.version = FIRST_VERSION
         return client
 
-    async def _train(self, account, steps):
+    async def _run_trainer(self, account, steps):
         client = self._trainer_by_account[account]
         for step in steps:
             if step.account == account:
@@ -190,9 +191,9 @@
         self.tally.doubled += client.dropped_held
 
     async def _run_step(self, client, step):
-        began_ms = self._clock.now_ms()
-        wanted = sum(group.samples for group in step.groups)
-        self.tally.samples_asked += wanted
+        started_ms = self._clock.now_ms()
+        sample_count = sum(group.samples for group in step.groups)
+        self.tally.samples_asked += sample_count
         groups = [
             GroupBody(number, group.prompt, group.samples, group.max_tokens, group.seed)
             for number, group in enumerate(step.groups)
@@ -204,9 +205,9 @@
             segment.tokens for s in samples.values() for segment in s.segments
         )
         self.tally.staleness += submitted.staleness_by_slot.values()
-        took_ms = self._clock.now_ms() - began_ms
-        self.tally.step_ms_by_account[step.account].append(took_ms)
-        log.info("Step %s took %d ms.", step.step, took_ms)
+        elapsed_ms = self._clock.now_ms() - started_ms
+        self.tally.step_ms_by_account[step.account].append(elapsed_ms)
+        log.info("Step %s took %d ms.", step.step, elapsed_ms)
         await self._clock.sleep_ms(step.train_ms)
         if step.publish:
             await self._publish(step.account, step.pool, step.publish)
--- a/goldcrestmoor/load/plot.py
+++ b/goldcrestmoor/load/plot.py
@@ -2,7 +2,7 @@
 
 from goldcrestmoor.errors import UserError
 
-BARS = (
+BAR_CHARTS = (
     ("idle_percent", "trainer idle, %"),
     ("staleness_mean", "staleness, versions"),
     ("step_ms_max", "longest step, ms"),
@@ -24,8 +24,8 @@
             "Plots need the optional extra: pip install 'goldcrestmoor[plot]'."
         ) from e
     figure = Figure(figsize=(10, 4), layout="constrained")
-    axes = figure.subplots(1, len(BARS) + 1)
-    for axis, (field, title) in zip(axes, BARS, strict=False):
+    axes = figure.subplots(1, len(BAR_CHARTS) + 1)
+    for axis, (field, title) in zip(axes, BAR_CHARTS, strict=False):
         axis.bar(
             [first.name, second.name], [getattr(r, field) for r in (first, second)]
         )
--- a/goldcrestmoor/load/replay.py
+++ b/goldcrestmoor/load/replay.py
@@ -10,7 +10,7 @@
 from goldcrestmoor.load.player import Player
 from goldcrestmoor.load.report import Report
 
-RETRIES = "goldcrestmoor_retries_total"
+RETRIES_METRIC = "goldcrestmoor_retries_total"
 
 
 async def replay(head, entries, plan, limits):
@@ -38,28 +38,28 @@
         control=control,
     )
     try:
-        before = await _readings(http, plan.urls)
+        before = await _read_all_metrics(http, plan.urls)
         wall_ms = await player.play(entries)
-        after = await _readings(http, plan.urls)
+        after = await _read_all_metrics(http, plan.urls)
         runs = await control.runs() if control else Runs()
     finally:
         await http.close()
     return _report(head, player.tally, wall_ms, before, after, runs)
 
 
-async def _readings(http, urls):
-    reading_by_url = {}
+async def _read_all_metrics(http, urls):
+    metrics_by_url = {}
     for url in urls:
         try:
-            reading_by_url[url] = await costs.read(http, url)
+            metrics_by_url[url] = await costs.read_metrics(http, url)
         except ServiceError:
             # A host that is down at this moment has nothing to report.
             continue
-    return reading_by_url
+    return metrics_by_url
 
 
 def _report(head, tally, wall_ms, before, after, runs):
-    both = [url for url in after if url in before]
+    urls = [url for url in after if url in before]
     trainers = max(1, len(tally.idle_ms_by_account))
     idle_ms = tally.idle_ms_by_account.total()
     steps = tally.step_ms_by_account
@@ -90,7 +90,10 @@
         completion_failed=tally.completion_failed,
         errors_by_kind=dict(tally.errors_by_kind),
         retries=int(
-            sum(after[u].get(RETRIES, 0) - before[u].get(RETRIES, 0) for u in both)
+            sum(
+                after[u].get(RETRIES_METRIC, 0) - before[u].get(RETRIES_METRIC, 0)
+                for u in urls
+            )
         ),
-        daemons=tuple(costs.difference(u, before[u], after[u]) for u in both),
+        daemons=tuple(costs.compute_cost(u, before[u], after[u]) for u in urls),
     )
--- a/goldcrestmoor/load/tally.py
+++ b/goldcrestmoor/load/tally.py
@@ -6,8 +6,8 @@
 
 from goldcrestmoor.load.report import Latency
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 US_PER_MS = 1000
 
@@ -18,14 +18,16 @@
     __slots__ = ("_histogram",)
 
     def __init__(self):
-        self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+        self._histogram = HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+        )
 
     def record(self, latency_ms):
         """Add one latency.
 
         :param latency_ms: in milliseconds.
         """
-        self._histogram.record_value(max(LOWEST_US, int(latency_ms * US_PER_MS)))
+        self._histogram.record_value(max(MIN_LATENCY_US, int(latency_ms * US_PER_MS)))
 
     def result(self):
         """Return the :class:`~goldcrestmoor.load.report.Latency` so far."""
--- a/test/compare.py
+++ b/test/compare.py
@@ -133,7 +133,7 @@
 
     :return: the report and what it missed of the stated outcomes.
     """
-    head, entries = generate.make(deployment, scenario, seed)
+    head, entries = generate.make_trace(deployment, scenario, seed)
     plan = make_plan(deployment, way.policy, terms=way.terms, **engine)
     plan.settings["limits"] = {"application_floor_percent": way.floor_percent}
     async with ReplayFleet(plan, has_network=scenario == "cut") as fleet:
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -19,7 +19,7 @@
         for name, deployment in generate.DEPLOYMENT_BY_NAME.items():
             for scenario in generate.SCENARIOS:
                 with self.subTest(deployment=name, scenario=scenario):
-                    head, entries = generate.make(deployment, scenario, seed=1)
+                    head, entries = generate.make_trace(deployment, scenario, seed=1)
                     trace.write(self.path, head, entries)
                     read_head, read_entries = trace.read(self.path)
                     self.assertEqual(read_head, head)
@@ -27,12 +27,12 @@
 
     def test_the_same_seed_gives_the_same_trace(self):
         deployment = generate.DEPLOYMENT_BY_NAME["tisza"]
-        first = generate.make(deployment, "crash", seed=7)
-        self.assertEqual(first, generate.make(deployment, "crash", seed=7))
-        self.assertNotEqual(first, generate.make(deployment, "crash", seed=8))
+        first = generate.make_trace(deployment, "crash", seed=7)
+        self.assertEqual(first, generate.make_trace(deployment, "crash", seed=7))
+        self.assertNotEqual(first, generate.make_trace(deployment, "crash", seed=8))
 
     def test_a_bad_line_is_named(self):
-        head, _ = generate.make(generate.DEPLOYMENT_BY_NAME["tisza"], "calm", 1)
+        head, _ = generate.make_trace(generate.DEPLOYMENT_BY_NAME["tisza"], "calm", 1)
         trace.write(self.path, head, [])
         with open(self.path, "a") as f:
             f.write('{"type":"fetch","at_ms":"soon"}\n')
