--- a/goldcrestmoor/load/__init__.py
+++ b/goldcrestmoor/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiments: recorded traces, their replay and the outcomes."""
+"""Load tests: recorded traces, their replay and the measured outcomes."""
--- a/goldcrestmoor/load/applications.py
+++ b/goldcrestmoor/load/applications.py
@@ -1,4 +1,4 @@
-"""Application requests as a replay sends them, each once."""
+"""Send application requests for a replay, without retries."""
 
 import urllib.parse
 
@@ -12,27 +12,27 @@
 
 
 async def fetch(http, url, token, pool, path):
-    """Send one idempotent request once and return its body.
+    """Send one idempotent request, without retries, and return the response body.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param url: the host.
+    :param url: the URL of the host.
     :param token: the application account's token.
     :param pool: the application pool.
     :param path: the path below the pool's route.
-    :raises ServiceError: what was answered, or what became of the connection.
+    :raises ServiceError: on an error response or a connection failure.
     """
     target = f"/apps/{pool}{path}"
     return await _send(http, url, token, "GET", target, b"", FETCH_TIMEOUT_MS)
 
 
 async def complete(http, url, token, entry):
-    """Ask for one text once and return the answer's body.
+    """Send one completion request, without retries, and return the response body.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param url: the host.
+    :param url: the URL of the host.
     :param token: the application account's token.
     :param entry: the :class:`~goldcrestmoor.load.trace.Completion`.
-    :raises ServiceError: what was answered, or what became of the connection.
+    :raises ServiceError: on an error response or a connection failure.
     """
     completion_request = CompletionRequest(
         entry.pool, entry.prompt, entry.max_tokens, entry.seed
--- a/goldcrestmoor/load/costs.py
+++ b/goldcrestmoor/load/costs.py
@@ -1,4 +1,4 @@
-"""What daemons spent, read from their metrics."""
+"""Resource use of daemons, read from their metrics."""
 
 import urllib.parse
 
@@ -11,11 +11,11 @@
 
 
 async def read_metrics(http, url):
-    """Return the sums of one daemon's metrics by name.
+    """Return one daemon's metrics by name, each summed over its labels.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param url: the host.
-    :raises ServiceError: when the host does not answer.
+    :param url: the URL of the host.
+    :raises ServiceError: when the host does not respond.
     """
     parts = urllib.parse.urlsplit(url)
     response = await http.request(
@@ -36,10 +36,10 @@
 
 
 def compute_cost(url, before, after):
-    """Return what a daemon spent between two readings.
+    """Return a daemon's resource use between two readings.
 
-    :param url: the host.
-    :param before: the first reading, as :func:`read` gave it.
+    :param url: the URL of the host.
+    :param before: the first reading, as returned by :func:`read_metrics`.
     :param after: the second reading.
     """
 
--- a/goldcrestmoor/load/generate.py
+++ b/goldcrestmoor/load/generate.py
@@ -1,7 +1,7 @@
-"""Make traces at the sizes of the two deployments.
+"""Generate traces at the scale of the two deployments.
 
-``python -m goldcrestmoor.load.generate DIRECTORY`` writes them all, one directory a
-deployment.
+``python -m goldcrestmoor.load.generate DIRECTORY`` writes all of them, into one
+directory per deployment.
 """
 
 import pathlib
@@ -27,7 +27,8 @@
 ARRIVALS_PERCENT = 80
 STEPS = 3
 MAX_TOKENS = 150
-# Steps that share the engines are bound by throughput, not by their longest sample.
+# The duration of steps that share the engines is bound by throughput, not by the
+# longest sample.
 SHARED_MAX_TOKENS = 50
 TRAIN_MS = 500
 PROMPT_WORDS = 40
@@ -42,21 +43,21 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What a deployment's traces are made of.
+    """The parameters of a deployment's traces.
 
     :param name: the deployment's name.
     :param trainer: the trainer's account.
     :param other_trainers: the accounts of trainers that share the engines.
     :param application: the application's account.
-    :param engine_pool: the pool of its engines.
-    :param application_pool: the pool of its application service.
-    :param zones: its availability zones.
-    :param fetches_per_s: application requests a second.
-    :param notes_per_s: notes a second.
-    :param completions_per_s: texts a second that the application asks for.
-    :param groups: groups a step.
-    :param samples: samples a group.
-    :param staleness_bound: the trainer's bound, in versions.
+    :param engine_pool: the pool of engines.
+    :param application_pool: the pool of the application service.
+    :param zones: the availability zones.
+    :param fetches_per_s: idempotent application requests per second.
+    :param notes_per_s: non-idempotent application requests (notes) per second.
+    :param completions_per_s: completion requests of the application per second.
+    :param groups: groups per step.
+    :param samples: samples per group.
+    :param staleness_bound: the trainer's staleness bound, in versions.
     """
 
     name: str
@@ -120,11 +121,11 @@
 
 
 def make_trace(deployment, scenario, seed):
-    """Return a trace's head and entries.
+    """Generate a trace and return its head and entries.
 
     :param deployment: a :class:`Deployment`.
     :param scenario: one of :data:`SCENARIOS`.
-    :param seed: what the random choices come from.
+    :param seed: the seed of the random choices.
     """
     rng = random.Random(f"{deployment.name}/{scenario}/{seed}")
     head = Head(
@@ -193,7 +194,7 @@
 
 
 def _publishes(deployment, scenario):
-    """Publish while a step is under way, as an asynchronous trainer does."""
+    """Yield publishes during steps, as an asynchronous trainer sends them."""
     if scenario != "weights":
         return
     times = range(PUBLISH_INTERVAL_MS // 2, DURATION_MS, PUBLISH_INTERVAL_MS)
@@ -259,7 +260,7 @@
 
 
 def main():
-    """Write every trace below the directory that the first argument names."""
+    """Write all traces to the directory given as the first argument."""
     directory = pathlib.Path(sys.argv[1])
     for deployment in DEPLOYMENT_BY_NAME.values():
         deployment_directory = directory / deployment.name
--- a/goldcrestmoor/load/plan.py
+++ b/goldcrestmoor/load/plan.py
@@ -1,4 +1,4 @@
-"""What a replay needs to know of the fleet that it plays against."""
+"""Description of the fleet that a trace is replayed against."""
 
 import msgspec
 
@@ -6,14 +6,14 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A fleet as a replay sees it, read from JSON.
+    """A fleet as seen by a replay, read from JSON.
 
-    :param urls: the hosts.
+    :param urls: the URLs of the hosts.
     :param token_by_account: the accounts' tokens.
     :param model_by_pool: the model of each engine pool.
-    :param staleness_by_account: each trainer's bound, in versions.
-    :param control_address: where faults are injected.
-    :param control_port: its port; 0 when nobody injects faults.
+    :param staleness_by_account: each trainer's staleness bound, in versions.
+    :param control_address: the IP address of the control server that injects faults.
+    :param control_port: the port of the control server; 0 when there is none.
     """
 
     urls: list[str]
@@ -28,7 +28,7 @@
     """Read a fleet's plan.
 
     :param path: the JSON file.
-    :raises UserError: when it is not one.
+    :raises UserError: when the file cannot be read or is not a valid plan.
     """
     try:
         with open(path, "rb") as f:
--- a/goldcrestmoor/load/player.py
+++ b/goldcrestmoor/load/player.py
@@ -1,4 +1,4 @@
-"""Play a trace against running daemons and count what comes of it."""
+"""Play a trace against running daemons and count the outcomes."""
 
 import asyncio
 import logging
@@ -25,19 +25,20 @@
 
 
 class Player:
-    """Play one trace.
+    """Plays one trace.
 
-    Arrivals are open: each starts at its time whatever became of those before it,
-    and its latency counts from that time. Steps of one trainer follow one another.
+    The load is open-loop: each request starts at its scheduled time, whether or not
+    earlier ones have finished, and its latency counts from that time. Steps of one
+    trainer run one after another.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param urls: the hosts.
+    :param urls: the URLs of the hosts.
     :param token_by_account: the accounts' tokens.
-    :param models_by_pool: the model of each engine pool, for publishing.
-    :param staleness_by_account: each trainer's bound, in versions.
+    :param model_by_pool: the model of each engine pool, for publishing.
+    :param staleness_by_account: each trainer's staleness bound, in versions.
     :param control: the :class:`~goldcrestmoor.load.fleet_control.FleetControl`, or
-        None when nobody injects faults.
+        None when the fleet has no control server.
     """
 
     __slots__ = (
@@ -78,10 +79,10 @@
         self._trainer_by_account = {}
 
     async def play(self, entries):
-        """Play all entries and wait until their work is over.
+        """Play all entries and wait until their work is finished.
 
-        :param entries: a trace's entries, in the order of their times.
-        :return: how long it took, in milliseconds.
+        :param entries: a trace's entries, ordered by time.
+        :return: the duration in milliseconds.
         """
         self._started_ms = self._clock.now_ms()
         steps = [entry for entry in entries if isinstance(entry, Step)]
@@ -125,7 +126,7 @@
                 await self._inject(entry)
 
     async def _fetch(self, entry, number):
-        # Callers come in through the balancer, which spreads them over the hosts.
+        # Stands in for the load balancer that distributes callers over the hosts.
         url = self._urls[number % len(self._urls)]
         token = self._token_by_account[entry.account]
         try:
@@ -155,7 +156,7 @@
             client = NotesClient(self._urls, token, clock=self._clock)
             self._notes_by_account[entry.account] = client
         path = f"/apps/{entry.pool}{entry.path}"
-        # The application counts its runs by this name, which makes it the witness.
+        # The application counts its runs by this id, independently of the daemons.
         headers = [(NOTE_HEADER, entry.body.encode())]
         result = await client.save(path, entry.body.encode(), NOTE_TIMEOUT_MS, headers)
         self.tally.notes_saved += result.outcome == Outcome.SAVED
@@ -166,7 +167,7 @@
         if self._control is None:
             raise ServiceError(
                 ErrorKind.BAD_REQUEST,
-                "The trace has faults, but the fleet's plan names no control.",
+                "The trace has faults, but the fleet's plan has no control server.",
             )
         log.info("Injecting %s on %s.", fault.action, fault.target)
         await self._control.inject(fault)
@@ -213,7 +214,7 @@
             await self._publish(step.account, step.pool, step.publish)
 
     async def _collect(self, client, step, groups):
-        """Return the step with whatever samples came in."""
+        """Return the step with the samples received, complete or not."""
         body = SubmitBody(step.step, step.pool, client.version, tuple(groups))
         submitted = ClientStep(body)
         try:
--- a/goldcrestmoor/load/plot.py
+++ b/goldcrestmoor/load/plot.py
@@ -1,4 +1,4 @@
-"""Two replays side by side, as an SVG picture."""
+"""Plot two replays side by side as SVG."""
 
 from goldcrestmoor.errors import UserError
 
@@ -10,10 +10,10 @@
 
 
 def side_by_side(first, second, path):
-    """Draw two reports next to each other.
+    """Plot two reports next to each other.
 
     :param first: a :class:`~goldcrestmoor.load.report.Report`.
-    :param second: the one that it is compared with.
+    :param second: the report to compare it with.
     :param path: the SVG file to write.
     :raises UserError: when the optional plotting library is not installed.
     """
@@ -21,7 +21,7 @@
         from matplotlib.figure import Figure
     except ImportError as e:
         raise UserError(
-            "Plots need the optional extra: pip install 'goldcrestmoor[plot]'."
+            "Plots require the optional extra: pip install 'goldcrestmoor[plot]'."
         ) from e
     figure = Figure(figsize=(10, 4), layout="constrained")
     axes = figure.subplots(1, len(BAR_CHARTS) + 1)
--- a/goldcrestmoor/load/replay.py
+++ b/goldcrestmoor/load/replay.py
@@ -1,4 +1,4 @@
-"""Replay a trace and judge its outcomes."""
+"""Replay a trace against a fleet and report the measurements."""
 
 import statistics
 
@@ -53,7 +53,7 @@
         try:
             metrics_by_url[url] = await costs.read_metrics(http, url)
         except ServiceError:
-            # A host that is down at this moment has nothing to report.
+            # A host that is down has no metrics.
             continue
     return metrics_by_url
 
--- a/goldcrestmoor/load/tally.py
+++ b/goldcrestmoor/load/tally.py
@@ -1,4 +1,4 @@
-"""Counts that a replay keeps while it runs."""
+"""Counters and latency histograms of a running replay."""
 
 import collections
 
@@ -13,7 +13,7 @@
 
 
 class LatencyTally:
-    """Latencies from the intended start, so that no wait is left out."""
+    """Histogram of latencies from the intended start, so that all waits count."""
 
     __slots__ = ("_histogram",)
 
@@ -25,7 +25,7 @@
     def record(self, latency_ms):
         """Add one latency.
 
-        :param latency_ms: in milliseconds.
+        :param latency_ms: the latency in milliseconds.
         """
         self._histogram.record_value(max(MIN_LATENCY_US, int(latency_ms * US_PER_MS)))
 
@@ -41,7 +41,7 @@
 
 
 class Tally:
-    """Everything that a replay counts."""
+    """All counters of a replay."""
 
     __slots__ = (
         "fetch",
--- a/goldcrestmoor/load/trace.py
+++ b/goldcrestmoor/load/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces: JSON lines with a head, in the order of their times."""
+"""Recorded traces: JSON lines with a head, ordered by time."""
 
 import msgspec
 
@@ -6,19 +6,20 @@
 
 
 class Outcomes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The bounds that a replay is held to; what is left out is not held.
-
-    :param lost: samples never delivered, at most.
-    :param doubled: samples delivered twice, at most.
-    :param notes_doubled: notes that an upstream ran twice, at most.
-    :param notes_lost_percent: notes that did not land, at most, in percent.
-    :param staleness_max: versions that any sample lags behind, at most.
-    :param idle_percent: trainer idle time, at most, in percent of the replay.
-    :param step_ms: the time until a step is whole, at most, in milliseconds.
-    :param fetch_p99_ms: 99th percentile of fetch latency, at most.
-    :param fetch_failed_percent: fetches without an answer, at most, in percent.
-    :param completion_failed_percent: an application's completions that were not
-        made in time, at most, in percent.
+    """The bounds that a replay must meet; None means no bound.
+
+    :param lost: maximum number of samples never delivered.
+    :param doubled: maximum number of duplicate samples delivered.
+    :param notes_doubled: maximum number of notes run more than once by upstreams.
+    :param notes_lost_percent: maximum share of notes not confirmed as saved, in
+        percent.
+    :param staleness_max: maximum staleness of any sample, in versions.
+    :param idle_percent: maximum trainer idle time, in percent of the replay.
+    :param step_ms: maximum time until a step is complete, in milliseconds.
+    :param fetch_p99_ms: maximum 99th percentile of fetch latency, in milliseconds.
+    :param fetch_failed_percent: maximum share of failed fetches, in percent.
+    :param completion_failed_percent: maximum share of an application's completions
+        that failed or timed out, in percent.
     """
 
     lost: int | None = 0
@@ -37,9 +38,9 @@
     """The first line of a trace.
 
     :param name: the trace's name.
-    :param seed: what its random choices came from.
-    :param duration_ms: when the last entry's work should be over.
-    :param outcomes: the bounds that the replay is held to.
+    :param seed: the seed of the trace's random choices.
+    :param duration_ms: the time by which the last entry's work should be finished.
+    :param outcomes: the bounds that the replay must meet.
     """
 
     name: str
@@ -58,7 +59,7 @@
 
 
 class Note(msgspec.Struct, frozen=True, tag="note", forbid_unknown_fields=True):
-    """One non-idempotent application request, made with a minted key."""
+    """One non-idempotent application request, sent with a minted key."""
 
     at_ms: int
     account: str
@@ -70,9 +71,9 @@
 class Completion(
     msgspec.Struct, frozen=True, tag="completion", forbid_unknown_fields=True
 ):
-    """One text that an application asks for.
+    """One completion request of an application.
 
-    :param timeout_ms: how long it may take, in milliseconds.
+    :param timeout_ms: the request timeout in milliseconds.
     """
 
     at_ms: int
@@ -85,12 +86,12 @@
 
 
 class Group(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The samples of one prompt.
+    """A group of samples of one prompt.
 
-    :param prompt: the prompt that they share.
-    :param samples: how many there are.
-    :param max_tokens: the most tokens of one sample.
-    :param seed: what the samples' random choices come from.
+    :param prompt: the shared prompt.
+    :param samples: the number of samples.
+    :param max_tokens: the maximum number of tokens per sample.
+    :param seed: the seed of the samples' random choices.
     """
 
     prompt: str
@@ -100,15 +101,15 @@
 
 
 class Step(msgspec.Struct, frozen=True, tag="step", forbid_unknown_fields=True):
-    """One step of a trainer, begun when the step before it is trained.
+    """One step of a trainer, started after training on the previous step.
 
-    :param at_ms: the earliest time to begin.
+    :param at_ms: the earliest start time.
     :param account: the trainer.
-    :param pool: the engines' pool.
+    :param pool: the engine pool.
     :param step: the step's name.
-    :param groups: what is asked for.
-    :param train_ms: how long the trainer trains on the whole step.
-    :param publish: the weight version that it publishes afterwards; 0 for none.
+    :param groups: the groups of samples to request.
+    :param train_ms: the time that the trainer trains on the complete step.
+    :param publish: the weight version to publish afterwards; 0 for none.
     """
 
     at_ms: int
@@ -121,7 +122,7 @@
 
 
 class Publish(msgspec.Struct, frozen=True, tag="publish", forbid_unknown_fields=True):
-    """A weight version that a trainer publishes in the middle of its steps."""
+    """A weight version that a trainer publishes during its steps."""
 
     at_ms: int
     account: str
@@ -130,11 +131,11 @@
 
 
 class Fault(msgspec.Struct, frozen=True, tag="fault", forbid_unknown_fields=True):
-    """One fault, carried out by whoever runs the fleet.
+    """One fault, injected by the fleet's control server.
 
-    :param at_ms: when.
+    :param at_ms: the time of the fault.
     :param action: such as ``kill``, ``freeze``, ``thaw``, ``cut``, ``mend``.
-    :param target: a process or a link by name.
+    :param target: the name of the process, link or availability zone.
     """
 
     at_ms: int
@@ -151,8 +152,9 @@
     """Return a trace's head and its entries.
 
     :param path: the trace's file.
-    :return: the :class:`Head` and a list of entries in the order of their times.
-    :raises UserError: naming the line that is wrong.
+    :return: the :class:`Head` and a list of entries ordered by time.
+    :raises UserError: when the file cannot be read or a line is invalid; names the
+        line.
     """
     try:
         with open(path, "rb") as f:
@@ -176,11 +178,11 @@
 
 
 def write(path, head, entries):
-    """Write a trace.
+    """Write a trace, its entries ordered by time.
 
     :param path: the trace's file.
-    :param head: its :class:`Head`.
-    :param entries: its entries.
+    :param head: the :class:`Head`.
+    :param entries: the entries, in any order.
     """
     with open(path, "wb") as f:
         for item in (head, *sorted(entries, key=lambda entry: entry.at_ms)):
