--- a/test/compare.py
+++ b/test/compare.py
@@ -22,7 +22,7 @@
 PERCENT = 100
 
 
-class Way(msgspec.Struct, frozen=True):
+class Variant(msgspec.Struct, frozen=True):
     """One way to do it.
 
     :param name: what it is called in the table.
@@ -41,25 +41,26 @@
     """A policy's ways, the plain one first.
 
     :param scenarios: the traces' scenarios.
-    :param ways: the :class:`Way` objects.
+    :param variants: the :class:`Variant` objects.
     :param engine: what differs in the engines' options.
     """
 
     scenarios: tuple[str, ...]
-    ways: tuple[Way, ...]
+    variants: tuple[Variant, ...]
     engine: dict = {}
 
 
 COMPARISON_BY_NAME = {
     "shares": Comparison(
-        ("shares",), (Way("fifo", {"queue": "fifo"}), Way("fair", {"queue": "fair"}))
+        ("shares",),
+        (Variant("fifo", {"queue": "fifo"}), Variant("fair", {"queue": "fair"})),
     ),
     "placement": Comparison(
         ("calm",),
         (
-            Way("round robin", {"placement": "round_robin"}),
-            Way("least loaded", {"placement": "least_loaded"}),
-            Way("prefix", {"placement": "prefix"}),
+            Variant("round robin", {"placement": "round_robin"}),
+            Variant("least loaded", {"placement": "least_loaded"}),
+            Variant("prefix", {"placement": "prefix"}),
         ),
         # A missed prefix of 40 words costs as much time as 20 tokens.
         {"prompt_token_ms": 10, "cache_tokens": 400},
@@ -67,35 +68,35 @@
     "stragglers": Comparison(
         ("straggler", "crash"),
         (
-            Way("plain", {"stragglers": "restart", "start_order": "as_numbered"}),
-            Way("longest first", {"stragglers": "restart"}),
-            Way("and resume", {"stragglers": "resume"}),
-            Way("and hedge", {"stragglers": "hedge"}),
+            Variant("plain", {"stragglers": "restart", "start_order": "as_numbered"}),
+            Variant("longest first", {"stragglers": "restart"}),
+            Variant("and resume", {"stragglers": "resume"}),
+            Variant("and hedge", {"stragglers": "hedge"}),
         ),
     ),
     "rollout": Comparison(
         ("calm", "weights"),
         (
-            Way("all at once", {"rollout": "all_at_once"}),
-            Way("rolling 17%", {"rollout": "rolling", "rolling_percent": 17}),
-            Way("rolling 50%", {"rollout": "rolling", "rolling_percent": 50}),
+            Variant("all at once", {"rollout": "all_at_once"}),
+            Variant("rolling 17%", {"rollout": "rolling", "rolling_percent": 17}),
+            Variant("rolling 50%", {"rollout": "rolling", "rolling_percent": 50}),
         ),
     ),
     "streams": Comparison(
         ("weights",),
         (
-            Way("finish", terms="ON VERSION CHANGE finish"),
-            Way("cancel", terms="ON VERSION CHANGE cancel"),
-            Way("drop early", {"drop_early": True}, "ON VERSION CHANGE finish"),
+            Variant("finish", terms="ON VERSION CHANGE finish"),
+            Variant("cancel", terms="ON VERSION CHANGE cancel"),
+            Variant("drop early", {"drop_early": True}, "ON VERSION CHANGE finish"),
         ),
     ),
     "overload": Comparison(
         ("burst",),
         (
-            Way("unbounded fifo", {"queue": "fifo", "early_refusal": False}),
-            Way("early refusal", {"queue": "fifo"}),
-            Way("and fair, floor 20%", {"queue": "fair"}),
-            Way("and fair, floor 50%", {"queue": "fair"}, floor_percent=50),
+            Variant("unbounded fifo", {"queue": "fifo", "early_refusal": False}),
+            Variant("early refusal", {"queue": "fifo"}),
+            Variant("and fair, floor 20%", {"queue": "fair"}),
+            Variant("and fair, floor 50%", {"queue": "fair"}, floor_percent=50),
         ),
     ),
 }
@@ -128,14 +129,14 @@
     return PERCENT * failed / max(1, latency.count)
 
 
-async def run_once(deployment, scenario, seed, way, engine):
+async def run_once(deployment, scenario, seed, variant, engine):
     """Replay one trace against a fresh fleet.
 
     :return: the report and what it missed of the stated outcomes.
     """
     head, entries = generate.make_trace(deployment, scenario, seed)
-    plan = make_plan(deployment, way.policy, terms=way.terms, **engine)
-    plan.settings["limits"] = {"application_floor_percent": way.floor_percent}
+    plan = make_plan(deployment, variant.policy, terms=variant.terms, **engine)
+    plan.settings["limits"] = {"application_floor_percent": variant.floor_percent}
     async with ReplayFleet(plan, has_network=scenario == "cut") as fleet:
         limits = settings.default_limits()
         report = await replay(head, entries, fleet.replay_plan(), limits)
@@ -144,25 +145,28 @@
 
 async def compare(deployment, comparison, scenario, seeds):
     """Return the table of one scenario, and the missed outcomes as text."""
-    values_by_way, missed = {way.name: {} for way in comparison.ways}, []
+    values_by_variant, missed = (
+        {variant.name: {} for variant in comparison.variants},
+        [],
+    )
     for seed in seeds:
-        for way in comparison.ways:
+        for variant in comparison.variants:
             report, misses = await run_once(
-                deployment, scenario, seed, way, comparison.engine
+                deployment, scenario, seed, variant, comparison.engine
             )
             for name, value in outcomes(deployment, report):
-                values_by_way[way.name].setdefault(name, []).append(value)
-            missed += [f"seed {seed}, {way.name}: {miss}" for miss in misses]
-    return _table(values_by_way), missed
+                values_by_variant[variant.name].setdefault(name, []).append(value)
+            missed += [f"seed {seed}, {variant.name}: {miss}" for miss in misses]
+    return _table(values_by_variant), missed
 
 
-def _table(values_by_way):
-    names = dict.fromkeys(name for v in values_by_way.values() for name in v)
+def _table(values_by_variant):
+    names = dict.fromkeys(name for v in values_by_variant.values() for name in v)
     rows = [
-        [name, *(_cell(values.get(name, [])) for values in values_by_way.values())]
+        [name, *(_cell(values.get(name, [])) for values in values_by_variant.values())]
         for name in names
     ]
-    headers = ["median (least to most)", *values_by_way]
+    headers = ["median (least to most)", *values_by_variant]
     return tabulate(rows, headers=headers, disable_numparse=True)
 
 
@@ -178,8 +182,10 @@
     deployment = generate.DEPLOYMENT_BY_NAME[options.deployment]
     comparison = COMPARISON_BY_NAME[options.policy]
     wanted = options.way or [""]
-    ways = [w for w in comparison.ways if any(part in w.name for part in wanted)]
-    comparison = msgspec.structs.replace(comparison, ways=tuple(ways))
+    variants = [
+        w for w in comparison.variants if any(part in w.name for part in wanted)
+    ]
+    comparison = msgspec.structs.replace(comparison, variants=tuple(variants))
     for scenario in options.scenario or comparison.scenarios:
         seeds = range(1, options.runs + 1)
         table, missed = await compare(deployment, comparison, scenario, seeds)
--- a/test/replay_fleet.py
+++ b/test/replay_fleet.py
@@ -37,7 +37,7 @@
     "swap_ms": 200,
     "swap_pauses": True,
 }
-LOST_ANSWERS = 5
+LOST_RESPONSES = 5
 
 
 def make_plan(
@@ -98,7 +98,7 @@
         self.network = Network() if has_network else None
         self.fleet = Fleet(plan, self.network)
         self._server = Server(self._handle, CONTROL_ADDRESS, 0)
-        self._tokens_of_killed = 0
+        self._killed_engine_tokens = 0
 
     async def __aenter__(self):
         await self.fleet.__aenter__()
@@ -136,7 +136,7 @@
         fleet = self.fleet
         match action:
             case "kill":
-                await self._keep_count(target)
+                await self._record_token_count(target)
                 fleet.kill(target)
             case "start":
                 await self._start(target)
@@ -149,7 +149,7 @@
                 await fleet.control(fleet.platform_control, "outage", on=is_on)
             case "lose":
                 control = fleet.platform_control
-                await fleet.control(control, "lose_answers", count=LOST_ANSWERS)
+                await fleet.control(control, "lose_answers", count=LOST_RESPONSES)
             case "slow" | "usual":
                 await self._set_speed(target, SLOW_FACTOR if action == "slow" else 1)
             case "cut":
@@ -171,14 +171,14 @@
         token_ms = pool.options["token_ms"] * factor
         await self.fleet.control(endpoint, "set", token_ms=token_ms)
 
-    async def _keep_count(self, target):
+    async def _record_token_count(self, target):
         endpoint = self.fleet.endpoint_by_id[target]
         if endpoint.pool:
             counts = await self.fleet.get_json(endpoint, "/control/counts") or {}
-            self._tokens_of_killed += counts.get("tokens", 0)
+            self._killed_engine_tokens += counts.get("tokens", 0)
 
     async def _runs(self):
-        tokens, runs_by_note = self._tokens_of_killed, collections.Counter()
+        tokens, runs_by_note = self._killed_engine_tokens, collections.Counter()
         for upstream in self.fleet.upstreams:
             counts = await self.fleet.get_json(upstream, "/control/counts") or {}
             tokens += counts.get("tokens", 0)
--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -37,11 +37,11 @@
 
     def explain_request(self, request_id):
         """A fetch that was refused, late or failed: steps 1 and 2."""
-        ends = self.of_request(request_id, "callers")
-        tries = " ".join(self.of_request(request_id, "forward"))
-        if not ends:
-            return "answered" if "answered 200" in tries else "unknown"
-        if "There is no such route" in ends[-1]:
+        caller_messages = self.of_request(request_id, "callers")
+        attempts = " ".join(self.of_request(request_id, "forward"))
+        if not caller_messages:
+            return "answered" if "answered 200" in attempts else "unknown"
+        if "There is no such route" in caller_messages[-1]:
             return "no such route"
         for phrase, cause in (
             ("spoilt or another's", "answers of other requests"),
@@ -50,7 +50,7 @@
             (", 0 of ", "its time is up"),
             ("gave no whole answer", "answers lost"),
         ):
-            if phrase in tries:
+            if phrase in attempts:
                 return cause
         return "unknown"
 
@@ -70,12 +70,12 @@
 
     def explain_item(self, item_id):
         """An item given up or run again: steps 1 to 3."""
-        texts = " ".join(self.of_request(item_id, "scheduler"))
-        if "can never be done" in texts:
+        messages = " ".join(self.of_request(item_id, "scheduler"))
+        if "can never be done" in messages:
             return "impossible item"
-        if re.search(rf"Item {item_id} failed \d+ times", texts):
+        if re.search(rf"Item {item_id} failed \d+ times", messages):
             return "engines fail"
-        if "broken off" in texts:
+        if "broken off" in messages:
             return "streams cut"
         return "unknown"
 
--- a/test/test_replay.py
+++ b/test/test_replay.py
@@ -103,10 +103,12 @@
 
 
 class ComparisonTest(unittest.TestCase):
-    def test_every_way_is_good_settings(self):
+    def test_every_variant_has_valid_settings(self):
         for comparison in compare.COMPARISON_BY_NAME.values():
-            for way in comparison.ways:
-                plan = replay_fleet.make_plan(TISZA, way.policy, terms=way.terms)
+            for variant in comparison.variants:
+                plan = replay_fleet.make_plan(
+                    TISZA, variant.policy, terms=variant.terms
+                )
                 fleet = replay_fleet.ReplayFleet(plan).fleet
                 document = fleet.settings_of(fleet.hosts[0].id)
                 document["platform"]["port"] = 1
