--- a/test/compare.py
+++ b/test/compare.py
@@ -1,8 +1,8 @@
-"""Compare a policy with its plain way on the same traces and seeds.
+"""Compare the variants of a policy on the same traces and seeds.
 
 ``python -m test.compare stragglers --deployment tisza --runs 5`` replays the policy's
-traces against fresh fleets, the ways in turn for each seed, and prints the median and
-the spread of each outcome.
+traces against fresh fleets, each variant in turn for each seed, and prints the median
+and the range of each outcome.
 """
 
 import argparse
@@ -23,12 +23,12 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """One way to do it.
+    """One variant of a policy.
 
-    :param name: what it is called in the table.
-    :param policy: what differs in the settings' section ``policy``.
-    :param terms: what follows in the trainers' ``CREATE ACCOUNT``.
-    :param floor_percent: the applications' part of the engines.
+    :param name: the column title in the table.
+    :param policy: overrides of the settings' section ``policy``.
+    :param terms: additional clauses of the trainers' ``CREATE ACCOUNT``.
+    :param floor_percent: the share of engine capacity reserved for applications.
     """
 
     name: str
@@ -38,11 +38,11 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """A policy's ways, the plain one first.
+    """The variants of a policy, the baseline first.
 
-    :param scenarios: the traces' scenarios.
+    :param scenarios: the scenarios to replay.
     :param variants: the :class:`Variant` objects.
-    :param engine: what differs in the engines' options.
+    :param engine: overrides of the engines' options.
     """
 
     scenarios: tuple[str, ...]
@@ -62,7 +62,7 @@
             Variant("least loaded", {"placement": "least_loaded"}),
             Variant("prefix", {"placement": "prefix"}),
         ),
-        # A missed prefix of 40 words costs as much time as 20 tokens.
+        # A cache miss on a prefix of 40 words takes as long as generating 20 tokens.
         {"prompt_token_ms": 10, "cache_tokens": 400},
     ),
     "stragglers": Comparison(
@@ -103,10 +103,10 @@
 
 
 def outcomes(deployment, report: Report):
-    """Yield the names and values that a comparison shows.
+    """Yield the names and values of the outcomes that a comparison shows.
 
     :param deployment: the trace's deployment.
-    :param report: what a replay measured.
+    :param report: the report of a replay.
     """
     steps = report.step_ms_by_account
     yield "trainers idle, %", report.idle_percent
@@ -132,7 +132,7 @@
 async def run_once(deployment, scenario, seed, variant, engine):
     """Replay one trace against a fresh fleet.
 
-    :return: the report and what it missed of the stated outcomes.
+    :return: the report and the stated outcomes that were missed.
     """
     head, entries = generate.make_trace(deployment, scenario, seed)
     plan = make_plan(deployment, variant.policy, terms=variant.terms, **engine)
@@ -178,7 +178,7 @@
 
 
 async def run(options):
-    """Print one table a scenario."""
+    """Print one table per scenario."""
     deployment = generate.DEPLOYMENT_BY_NAME[options.deployment]
     comparison = COMPARISON_BY_NAME[options.policy]
     wanted = options.way or [""]
@@ -195,7 +195,7 @@
 
 
 def main():
-    """Read the arguments and compare."""
+    """Parse the arguments and run the comparison."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("policy", choices=sorted(COMPARISON_BY_NAME))
     names = sorted(generate.DEPLOYMENT_BY_NAME)
--- a/test/replay_fleet.py
+++ b/test/replay_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet at a deployment's size, with a control server for replays.
+"""A fleet at the scale of a deployment, with a control server for replays.
 
 ``python -m test.replay_fleet tisza --plan plan.json`` starts it, writes the plan for
-``goldcrestmoor replay TRACE --fleet plan.json`` and serves until it is interrupted.
-Settings follow as ``--policy queue=fifo,early_refusal=false`` and ``--network`` puts
-links between the zones, which the traces with a cut need.
+``goldcrestmoor replay TRACE --fleet plan.json`` and serves until interrupted.
+``--policy queue=fifo,early_refusal=false`` overrides settings, and ``--network``
+simulates links between the zones, which traces with a cut require.
 """
 
 import argparse
@@ -29,7 +29,7 @@
 TRAINER_SHARE = 4
 SLOW_FACTOR = 6
 ENGINE_SLOTS = 8
-# Engines, not daemons, are what a replay waits for.
+# Slow enough that the engines, not the daemons, bound the duration of a replay.
 ENGINE_OPTIONS = {
     "token_ms": 20,
     "mean_tokens": 30,
@@ -46,10 +46,10 @@
     """Return the plan of a deployment's fleet.
 
     :param deployment: a ``Deployment`` of :mod:`goldcrestmoor.load.generate`.
-    :param policy: what differs in the settings' section of that name.
-    :param hosts_per_zone: the daemons of each zone.
-    :param terms: further clauses of the trainers' accounts.
-    :param engine: what differs in the engines' options.
+    :param policy: overrides of the settings' section ``policy``.
+    :param hosts_per_zone: the number of daemons in each zone.
+    :param terms: additional clauses of the trainers' ``CREATE ACCOUNT``.
+    :param engine: overrides of the engines' options.
     """
     zones = deployment.zones
     options = {**ENGINE_OPTIONS, **engine}
@@ -78,7 +78,7 @@
             PoolPlan(pools[1], "application", applications),
         ),
         accounts=(*trainers, application),
-        # Short leases, so that the configuration is in force within a second or two.
+        # Short leases, so that the configuration takes effect within a second or two.
         settings={
             "configuration": {"poll_ms": 200, "lease_ms": 1000, "lease_margin_ms": 200},
             "policy": policy or {},
@@ -91,7 +91,7 @@
     """The fleet and its control server; use as an async context manager.
 
     :param plan: the :class:`~test.fleet.Plan`.
-    :param has_network: whether zones can be cut.
+    :param has_network: whether zones can be partitioned.
     """
 
     def __init__(self, plan, *, has_network=False):
@@ -110,7 +110,7 @@
         await self.fleet.__aexit__(*exception)
 
     def replay_plan(self):
-        """Return the fleet as a replay sees it."""
+        """Return the fleet as seen by a replay."""
         plan = self.fleet.plan
         return plans.Plan(
             urls=self.fleet.urls(),
@@ -157,7 +157,7 @@
             case "mend":
                 self.network.mend()
             case _:
-                raise AssertionError(f"{action} is no fault.")
+                raise AssertionError(f"Unknown fault action {action}.")
 
     async def _start(self, target):
         if self.fleet.endpoint_by_id[target].pool:
@@ -190,7 +190,7 @@
 
 
 def parse_policy(text):
-    """Return the settings that a text such as ``queue=fifo`` names."""
+    """Parse settings from a text such as ``queue=fifo``."""
     pairs = (pair.split("=") for pair in text.split(",") if pair)
     return {name: _value(value) for name, value in pairs}
 
@@ -203,7 +203,7 @@
 
 
 async def run(deployment, path, policy, has_network):
-    """Serve a fleet until SIGINT or SIGTERM."""
+    """Run a fleet until SIGINT or SIGTERM."""
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
@@ -215,7 +215,7 @@
 
 
 def main():
-    """Read the arguments and serve."""
+    """Parse the arguments and run the fleet."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("deployment", choices=sorted(DEPLOYMENT_BY_NAME))
     parser.add_argument("--plan", type=pathlib.Path, required=True)
--- a/test/test_examples.py
+++ b/test/test_examples.py
@@ -1,4 +1,4 @@
-"""The shipped examples are good settings and commands."""
+"""The shipped examples contain valid settings and commands."""
 
 import json
 import unittest
--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -1,6 +1,6 @@
-"""From a failed request's id to the fault that was injected, by the logs alone.
+"""Diagnoses injected faults from request ids, using only the logs.
 
-The steps are those of docs/OPERATIONS.md; they see no more than the lines.
+The steps follow docs/OPERATIONS.md and use nothing but the log lines.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Logs:
-    """The lines of all hosts, searched as an engineer would.
+    """The log lines of all hosts, searched as an engineer would.
 
     :param lines: ``(host, line)`` pairs, the lines decoded.
     """
@@ -27,7 +27,7 @@
         self.lines = lines
 
     def of_request(self, request_id, part):
-        """Return the messages of a part that belong to a request or name it."""
+        """Return a component's messages that have a request's id or mention it."""
         return [
             line["message"]
             for _, line in self.lines
@@ -36,7 +36,7 @@
         ]
 
     def explain_request(self, request_id):
-        """A fetch that was refused, late or failed: steps 1 and 2."""
+        """Diagnose a fetch that was rejected, late or failed: steps 1 and 2."""
         caller_messages = self.of_request(request_id, "callers")
         attempts = " ".join(self.of_request(request_id, "forward"))
         if not caller_messages:
@@ -55,7 +55,7 @@
         return "unknown"
 
     def explain_job(self, job_id):
-        """A step that is short of groups: steps 1 and 2."""
+        """Diagnose a job that was rejected or lost its runner: steps 1 and 2."""
         if not any("is accepted" in text for text in self.of_request(job_id, "desk")):
             refusals = " ".join(self.of_request(job_id, "callers"))
             if "store is not heard" in refusals or "store is unavailable" in refusals:
@@ -69,7 +69,7 @@
         return "runner gone" if len(set(runners)) > 1 else "unknown"
 
     def explain_item(self, item_id):
-        """An item given up or run again: steps 1 to 3."""
+        """Diagnose an item that was abandoned or run again: steps 1 to 3."""
         messages = " ".join(self.of_request(item_id, "scheduler"))
         if "can never be done" in messages:
             return "impossible item"
@@ -93,7 +93,7 @@
         return f"id{self.count:03d}x"
 
     async def fetch(self, cause, status, path=FETCH_PATH):
-        """Make a request that meets a fault, and note its id with the cause."""
+        """Send a request that hits a fault, and record its id with the cause."""
         request_id = self.new_id()
         answer = await self.fleet.ask(HOST, "POST", path, b"x", request_id)
         self.assertEqual(answer.status, status, (cause, answer.body))
@@ -154,7 +154,7 @@
         return await self.submit(self.new_id()) == 202
 
     async def item_ends(self, cause, prepare):
-        """Run a job whose items meet a fault, and note their ids."""
+        """Run a job whose items hit a fault, and record their ids."""
         job_id = self.new_id()
         prepare()
         self.assertEqual(await self.submit(job_id), 202)
@@ -194,7 +194,7 @@
         self.known.append(("job", job_id, "runner gone"))
 
     async def serves(self):
-        """Tell whether the host knows its servers again."""
+        """Return whether the host can reach its application servers again."""
         answer = await self.fleet.ask(HOST, "POST", FETCH_PATH, b"x", self.new_id())
         return answer.status == 200
 
@@ -220,7 +220,7 @@
         for fault in faults:
             await fault()
             await _common.eventually(self.serves)
-        # The lines are written by a thread of their own.
+        # A separate thread writes the log lines.
         await asyncio.sleep(0.5)
         logs = Logs(list(self.lines()))
         explain = {
--- a/test/test_language.py
+++ b/test/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language, from the text to the answer."""
+"""Tests of the operator language, from the script to the response."""
 
 import asyncio
 import contextlib
@@ -142,7 +142,7 @@
 
 
 class AskTest(unittest.IsolatedAsyncioTestCase):
-    """The ask command against a real HTTP server over fakes of the rest."""
+    """Tests the ask command against a real HTTP server; the rest is faked."""
 
     async def asyncSetUp(self):
         self.world = World(2)
@@ -193,7 +193,7 @@
         return executor
 
     async def ask(self, text, **options):
-        """Return what the command printed and its exit code."""
+        """Return the output of the command and its exit code."""
         options = {"url": self.url, "token": _common.OPERATOR_TOKEN} | options
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
--- a/test/test_load.py
+++ b/test/test_load.py
@@ -1,4 +1,4 @@
-"""Traces, reports and their outcomes."""
+"""Tests of traces and latency histograms."""
 
 import pathlib
 import tempfile
--- a/test/test_replay.py
+++ b/test/test_replay.py
@@ -1,4 +1,4 @@
-"""A trace is replayed whole against a small fleet, and held to its outcomes."""
+"""Replays a trace against a small fleet and checks the stated outcomes."""
 
 import json
 import pathlib
@@ -19,7 +19,7 @@
 
 
 def tiny_trace():
-    """Return a head and a trace that ends in about a second."""
+    """Return the head and entries of a trace that takes about a second."""
     trainer, application = TISZA.trainer, TISZA.application
     engines, desk = TISZA.engine_pool, TISZA.application_pool
     groups = tuple(Group(f"group {i}", SAMPLES // 2, 12, i) for i in range(2))
@@ -54,7 +54,7 @@
         self.plan_path = str(plan_path)
 
     async def replay(self, head, entries, *options):
-        """Run the command as a user does; return its exit code and output."""
+        """Run the command in a process; return its exit code and output."""
         path = self.folder / "trace.jsonl"
         trace.write(path, head, entries)
         arguments = ["replay", str(path), "--fleet", self.plan_path, *options]
