--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -44,11 +44,11 @@
         if "There is no such route" in caller_messages[-1]:
             return "no such route"
         for phrase, cause in (
-            ("spoilt or another's", "answers of other requests"),
-            ("answered 503", "servers refuse"),
-            ("cannot be reached", "servers gone"),
-            (", 0 of ", "its time is up"),
-            ("gave no whole answer", "answers lost"),
+            ("spoilt or another's", "responses of other requests"),
+            ("answered 503", "servers reject"),
+            ("cannot be reached", "servers unreachable"),
+            (", 0 of ", "deadline passed"),
+            ("gave no whole answer", "responses lost"),
         ):
             if phrase in attempts:
                 return cause
@@ -59,7 +59,7 @@
         if not any("is accepted" in text for text in self.of_request(job_id, "desk")):
             refusals = " ".join(self.of_request(job_id, "callers"))
             if "store is not heard" in refusals or "store is unavailable" in refusals:
-                return "store away"
+                return "store unavailable"
             return "unknown"
         runners = [
             host
@@ -99,51 +99,51 @@
         self.assertEqual(answer.status, status, (cause, answer.body))
         self.known.append(("request", request_id, cause))
 
-    async def servers_refuse(self):
+    async def servers_reject(self):
         for app in self.fleet.apps:
             app.refusing = True
-        await self.fetch("servers refuse", 429)
+        await self.fetch("servers reject", 429)
         for app in self.fleet.apps:
             app.refusing = False
 
-    async def servers_gone(self):
+    async def servers_unreachable(self):
         ports = [app.port for app in self.fleet.apps]
         for app in self.fleet.apps:
             await app.close()
-        await self.fetch("servers gone", 429)
+        await self.fetch("servers unreachable", 429)
         for app, port in zip(self.fleet.apps, ports, strict=True):
             await app.start(port)
 
-    async def answers_lost(self):
+    async def responses_lost(self):
         for app in self.fleet.apps:
             app.lose = True
-        await self.fetch("answers lost", 502, "/once/x")
+        await self.fetch("responses lost", 502, "/once/x")
         for app in self.fleet.apps:
             app.lose = False
 
-    async def answers_of_others(self):
+    async def responses_of_others(self):
         for app in self.fleet.apps:
             app.echo = "another"
-        await self.fetch("answers of other requests", 502, "/once/x")
+        await self.fetch("responses of other requests", 502, "/once/x")
         for app in self.fleet.apps:
             app.echo = None
 
-    async def time_is_up(self):
+    async def deadline_passed(self):
         for app in self.fleet.apps:
             app.delay_s = 3
-        await self.fetch("its time is up", 504, "/once/x")
+        await self.fetch("deadline passed", 504, "/once/x")
         for app in self.fleet.apps:
             app.delay_s = 0
 
     async def no_such_route(self):
         await self.fetch("no such route", 404, "/nowhere/x")
 
-    async def store_away(self):
+    async def store_unavailable(self):
         self.fleet.store.mode = "busy"
         await asyncio.sleep(2)
         job_id = self.new_id()
         self.assertEqual(await self.submit(job_id), 503)
-        self.known.append(("job", job_id, "store away"))
+        self.known.append(("job", job_id, "store unavailable"))
         self.fleet.store.mode = ""
         await _common.eventually(self.accepts)
 
@@ -204,13 +204,13 @@
         await _common.eventually(self.serves)
         await _common.eventually(self.accepts)
         faults = [
-            self.servers_refuse,
-            self.servers_gone,
-            self.answers_lost,
-            self.answers_of_others,
-            self.time_is_up,
+            self.servers_reject,
+            self.servers_unreachable,
+            self.responses_lost,
+            self.responses_of_others,
+            self.deadline_passed,
             self.no_such_route,
-            self.store_away,
+            self.store_unavailable,
             self.engines_fail,
             self.impossible_items,
             self.streams_cut,
