--- a/goldcrestmoor/language/explain.py
+++ b/goldcrestmoor/language/explain.py
@@ -1,4 +1,4 @@
-"""Why something was done: decisions of this host and of its peers."""
+"""Collect logged decisions of this host and its peers for ``EXPLAIN``."""
 
 import logging
 
@@ -9,15 +9,15 @@
 
 log = logging.getLogger("goldcrestmoor.language")
 
-MAX_HOSTS_ASKED = 16
+MAX_HOSTS_QUERIED = 16
 HOST_TIMEOUT_MS = 500
 EXPLAIN_TIMEOUT_MS = 5000
 
 
 class ExplainRequest(Message, frozen=True):
-    """Ask a host for its decisions.
+    """Request a host's logged decisions.
 
-    :param request_id: about this request; empty for the host's last ones.
+    :param request_id: the request to explain; empty for the most recent decisions.
     """
 
     request_id: str
@@ -31,12 +31,12 @@
 
 
 class Explainer:
-    """Collect decisions from the hosts that may have made them.
+    """Collects decisions from this host and the peers that may have made them.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
-    :param decisions: this host's decisions.
+    :param decisions: this host's decision log.
     :param links: the peer links.
-    :param membership: the hosts that this host believes alive.
+    :param membership: the hosts that this host considers alive.
     :param host_id: this host's id.
     :param zone: this host's availability zone.
     """
@@ -50,7 +50,7 @@
         self._membership = membership
         self._host_id = host_id
         self._zone = zone
-        links.register(ExplainRequest, self._on_ask)
+        links.register(ExplainRequest, self._on_explain_request)
 
     async def explain_request(self, request_id):
         """Return the decisions about one request, oldest first.
@@ -58,49 +58,52 @@
         :param request_id: the request.
         :return: pairs of a host's id and a decision.
         """
-        # A request's id names no host, and the hosts that took part in it are
-        # almost always of one zone.
-        found = [self._own(request_id)]
+        # A request id does not identify a host. The hosts that handle a request are
+        # almost always in one zone, so only this zone is queried.
+        explanations = [self._local_explanation(request_id)]
         deadline = Deadline.after(self._clock, EXPLAIN_TIMEOUT_MS)
         others = (record.id for record in self._membership.live(self._zone))
-        asked = sorted(host for host in others if host != self._host_id)
-        for host_id in asked[: MAX_HOSTS_ASKED - 1]:
+        host_ids = sorted(host for host in others if host != self._host_id)
+        for host_id in host_ids[: MAX_HOSTS_QUERIED - 1]:
             if deadline.passed():
                 break
             try:
-                found.append(await self._ask(host_id, request_id))
+                explanations.append(await self._query_host(host_id, request_id))
             except ServiceError as e:
-                log.info("Host %s explained nothing: %s", host_id, e)
-        pairs = ((e.host_id, d) for e in found for d in e.decisions)
+                log.info("Host %s returned no explanation: %s", host_id, e)
+        pairs = ((e.host_id, d) for e in explanations for d in e.decisions)
         return sorted(pairs, key=lambda pair: pair[1].at_ms)
 
     async def explain_host(self, host_id):
-        """Return a host's last decisions, oldest first.
+        """Return a host's most recent decisions, oldest first.
 
         :param host_id: the host.
-        :return: pairs of its id and a decision.
-        :raises ServiceError: when the host does not answer.
+        :return: pairs of the host's id and a decision.
+        :raises ServiceError: when the host does not reply.
         """
         if host_id == self._host_id:
-            explanation = self._own("")
+            explanation = self._local_explanation("")
         else:
-            explanation = await self._ask(host_id, "")
+            explanation = await self._query_host(host_id, "")
         return [(host_id, decision) for decision in explanation.decisions]
 
-    async def _ask(self, host_id, request_id):
-        answer = await self._links.call(
+    async def _query_host(self, host_id, request_id):
+        reply = await self._links.call(
             host_id, ExplainRequest(request_id), HOST_TIMEOUT_MS
         )
-        if not isinstance(answer, Explanation):
-            raise ServiceError(ErrorKind.PEER_UNREACHABLE, "No explanation came.")
-        return answer
-
-    def _own(self, request_id):
+        if not isinstance(reply, Explanation):
+            raise ServiceError(
+                ErrorKind.PEER_UNREACHABLE,
+                "The host did not reply with an explanation.",
+            )
+        return reply
+
+    def _local_explanation(self, request_id):
         if request_id:
             decisions = self._decisions.for_request(request_id)
         else:
             decisions = self._decisions.recent()
         return Explanation(self._host_id, tuple(decisions))
 
-    async def _on_ask(self, sender_id, message):
-        return self._own(message.request_id)
+    async def _on_explain_request(self, sender_id, message):
+        return self._local_explanation(message.request_id)
--- a/goldcrestmoor/language/routes.py
+++ b/goldcrestmoor/language/routes.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP route."""
+"""HTTP route for operators."""
 
 import hmac
 import logging
@@ -16,14 +16,14 @@
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 BEARER = b"bearer "
-STATUS_OK = 200
+OK_STATUS = 200
 
 
-class Question(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a request to the operators' route.
+class AskBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The request body of ``POST /operator/ask``.
 
-    :param text: the operator's text.
-    :param base_version: the version that its changes were written against.
+    :param text: the operator script.
+    :param base_version: the configuration version that the changes are based on.
     """
 
     text: str
@@ -31,22 +31,22 @@
 
 
 def register_routes(app, *, executor, operator_token_hash):
-    """Add ``POST /operator/ask`` to an application.
+    """Register ``POST /operator/ask`` on an application.
 
     :param app: the blacksheep application.
     :param executor: the :class:`~goldcrestmoor.language.executor.Executor`.
-    :param operator_token_hash: SHA-256 of the operators' token, in hexadecimal;
-        nobody is let in when it is empty.
+    :param operator_token_hash: SHA-256 of the operator token, in hexadecimal;
+        all requests are rejected when it is empty.
     """
 
     async def ask(request):
         try:
             _authenticate(request, operator_token_hash)
-            question = await _read(request)
-            answer = await executor.execute(question.text, question.base_version)
+            body_fields = await _read_body(request)
+            result = await executor.execute(body_fields.text, body_fields.base_version)
         except ServiceError as e:
             return _error_response(e)
-        return _json_response(_status(answer), answer)
+        return _json_response(_status(result), result)
 
     app.router.add_post("/operator/ask", ask)
 
@@ -56,31 +56,33 @@
     token = b""
     if value[: len(BEARER)].lower() == BEARER:
         token = value[len(BEARER) :].strip()
-    given = util.hash_token(token.decode("utf-8", "replace"))
-    same = hmac.compare_digest(given, operator_token_hash)
-    if not operator_token_hash or not same:
-        raise ServiceError(ErrorKind.UNAUTHORIZED, "The operators' token is wrong.")
+    given_hash = util.hash_token(token.decode("utf-8", "replace"))
+    matches = hmac.compare_digest(given_hash, operator_token_hash)
+    if not operator_token_hash or not matches:
+        raise ServiceError(ErrorKind.UNAUTHORIZED, "The operator token is invalid.")
 
 
-async def _read(request):
+async def _read_body(request):
     length = request.get_first_header(b"Content-Length") or b"0"
     if length.isdigit() and int(length) > MAX_BODY_BYTES:
-        raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
+        raise ServiceError(ErrorKind.TOO_LARGE, "The request body is too large.")
     body = bytearray()
     async for chunk in request.stream():
         body += chunk
         if len(body) > MAX_BODY_BYTES:
-            raise ServiceError(ErrorKind.TOO_LARGE, "The body is too large.")
+            raise ServiceError(ErrorKind.TOO_LARGE, "The request body is too large.")
     try:
-        return msgspec.json.decode(bytes(body), type=Question)
+        return msgspec.json.decode(bytes(body), type=AskBody)
     except msgspec.MsgspecError as e:
-        raise ServiceError(ErrorKind.BAD_REQUEST, f"The body is wrong: {e}.") from e
+        raise ServiceError(
+            ErrorKind.BAD_REQUEST, f"The request body is invalid: {e}."
+        ) from e
 
 
 def _status(answer):
     if isinstance(answer, Outcome) and answer.code is not None:
         return ANSWER_BY_KIND[answer.code].status
-    return STATUS_OK
+    return OK_STATUS
 
 
 def _error_response(error):
--- a/goldcrestmoor/language/tables.py
+++ b/goldcrestmoor/language/tables.py
@@ -1,4 +1,4 @@
-"""Tables of rows: filtered, sorted and cut as an operator asks."""
+"""Filter, sort and limit the rows of ``SHOW`` results."""
 
 import itertools
 import operator
@@ -21,7 +21,7 @@
     """Rows under named columns.
 
     :param columns: the columns' names.
-    :param rows: the rows, each with one plain value a column.
+    :param rows: the rows, each with one text or number per column.
     """
 
     columns: tuple[str, ...]
@@ -29,29 +29,31 @@
 
 
 def select(columns, rows, show):
-    """Return the rows that a question asks for.
+    """Return the rows that a ``SHOW`` statement selects.
 
     :param columns: the columns' names.
     :param rows: the rows.
     :param show: a :class:`~goldcrestmoor.language.statements.Show`.
     :return: a :class:`Table`.
-    :raises ServiceError: ``BAD_REQUEST`` when it names an unknown column.
+    :raises ServiceError: ``BAD_REQUEST`` when the statement names an unknown column.
     """
-    chosen = (tuple(plain(cell) for cell in row) for row in rows)
+    selected = (tuple(plain(cell) for cell in row) for row in rows)
     for condition in show.conditions:
-        chosen = _where(chosen, _index(columns, condition.column), condition)
+        selected = _filter_rows(
+            selected, _column_index(columns, condition.column), condition
+        )
     if show.order_by:
-        index = _index(columns, show.order_by)
-        chosen = sorted(
-            chosen, key=lambda row: _sort_key(row[index]), reverse=show.descending
+        index = _column_index(columns, show.order_by)
+        selected = sorted(
+            selected, key=lambda row: _sort_key(row[index]), reverse=show.descending
         )
-    return Table(tuple(columns), tuple(itertools.islice(chosen, show.limit)))
+    return Table(tuple(columns), tuple(itertools.islice(selected, show.limit)))
 
 
 def plain(cell):
-    """Return a cell as text or a number.
+    """Convert a cell to text or a number.
 
-    :param cell: any value that a source gives.
+    :param cell: any value returned by a source.
     """
     match cell:
         case None:
@@ -65,20 +67,20 @@
     return str(cell)
 
 
-def _where(rows, index, condition):
+def _filter_rows(rows, index, condition):
     compare = COMPARE_BY_OPERATOR[condition.operator]
     for row in rows:
         if compare(*_comparable(row[index], condition.value)):
             yield row
 
 
-def _index(columns, name):
+def _column_index(columns, name):
     try:
         return list(columns).index(name)
     except ValueError:
         raise ServiceError(
             ErrorKind.BAD_REQUEST,
-            f"There is no column {name}; there are {', '.join(columns)}.",
+            f"Unknown column {name}; the columns are {', '.join(columns)}.",
         ) from None
 
 
--- a/goldcrestmoor/load/costs.py
+++ b/goldcrestmoor/load/costs.py
@@ -1,4 +1,4 @@
-"""What daemons spent, read from their metrics."""
+"""Resource use of daemons, read from their metrics."""
 
 import urllib.parse
 
@@ -10,12 +10,12 @@
 BYTES_PER_MB = 1_000_000
 
 
-async def read(http, url):
-    """Return the sums of one daemon's metrics by name.
+async def read_metrics(http, url):
+    """Return one daemon's metrics by name, each summed over its labels.
 
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param url: the host.
-    :raises ServiceError: when the host does not answer.
+    :param url: the URL of the host.
+    :raises ServiceError: when the host does not respond.
     """
     parts = urllib.parse.urlsplit(url)
     response = await http.request(
@@ -35,20 +35,20 @@
     return sum_by_name
 
 
-def difference(url, before, after):
-    """Return what a daemon spent between two readings.
+def compute_cost(url, before, after):
+    """Return a daemon's resource use between two readings.
 
-    :param url: the host.
-    :param before: the first reading, as :func:`read` gave it.
+    :param url: the URL of the host.
+    :param before: the first reading, as returned by :func:`read_metrics`.
     :param after: the second reading.
     """
 
-    def spent(name):
+    def increase(name):
         return after.get(name, 0) - before.get(name, 0)
 
     return DaemonCost(
         url=url,
-        cpu_s=spent("process_cpu_seconds_total"),
+        cpu_s=increase("process_cpu_seconds_total"),
         resident_mb=after.get("process_resident_memory_bytes", 0) / BYTES_PER_MB,
-        control_bytes=int(spent("goldcrestmoor_control_bytes_total")),
+        control_bytes=int(increase("goldcrestmoor_control_bytes_total")),
     )
--- a/goldcrestmoor/load/generate.py
+++ b/goldcrestmoor/load/generate.py
@@ -1,7 +1,7 @@
-"""Make traces at the sizes of the two deployments.
+"""Generate traces at the scale of the two deployments.
 
-``python -m goldcrestmoor.load.generate DIRECTORY`` writes them all, one directory a
-deployment.
+``python -m goldcrestmoor.load.generate DIRECTORY`` writes all of them, into one
+directory per deployment.
 """
 
 import pathlib
@@ -27,7 +27,8 @@
 ARRIVALS_PERCENT = 80
 STEPS = 3
 MAX_TOKENS = 150
-# Steps that share the engines are bound by throughput, not by their longest sample.
+# The duration of steps that share the engines is bound by throughput, not by the
+# longest sample.
 SHARED_MAX_TOKENS = 50
 TRAIN_MS = 500
 PROMPT_WORDS = 40
@@ -42,21 +43,21 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """What a deployment's traces are made of.
+    """The parameters of a deployment's traces.
 
     :param name: the deployment's name.
     :param trainer: the trainer's account.
     :param other_trainers: the accounts of trainers that share the engines.
     :param application: the application's account.
-    :param engine_pool: the pool of its engines.
-    :param application_pool: the pool of its application service.
-    :param zones: its availability zones.
-    :param fetches_per_s: application requests a second.
-    :param notes_per_s: notes a second.
-    :param completions_per_s: texts a second that the application asks for.
-    :param groups: groups a step.
-    :param samples: samples a group.
-    :param staleness_bound: the trainer's bound, in versions.
+    :param engine_pool: the pool of engines.
+    :param application_pool: the pool of the application service.
+    :param zones: the availability zones.
+    :param fetches_per_s: idempotent application requests per second.
+    :param notes_per_s: non-idempotent application requests (notes) per second.
+    :param completions_per_s: completion requests of the application per second.
+    :param groups: groups per step.
+    :param samples: samples per group.
+    :param staleness_bound: the trainer's staleness bound, in versions.
     """
 
     name: str
@@ -119,12 +120,12 @@
 )
 
 
-def make(deployment, scenario, seed):
-    """Return a trace's head and entries.
+def make_trace(deployment, scenario, seed):
+    """Generate a trace and return its head and entries.
 
     :param deployment: a :class:`Deployment`.
     :param scenario: one of :data:`SCENARIOS`.
-    :param seed: what the random choices come from.
+    :param seed: the seed of the random choices.
     """
     rng = random.Random(f"{deployment.name}/{scenario}/{seed}")
     head = Head(
@@ -135,7 +136,7 @@
     )
     entries = [
         *_steps(deployment, scenario, rng),
-        *_publishing(deployment, scenario),
+        *_publishes(deployment, scenario),
         *_fetches(deployment, rng),
         *_notes(deployment, scenario, rng),
         *_completions(deployment, scenario, rng),
@@ -145,24 +146,24 @@
 
 
 def _outcomes(deployment, scenario):
-    is_quiet = scenario in ("calm", "straggler", "weights", "shares")
+    allows_no_failures = scenario in ("calm", "straggler", "weights", "shares")
     return Outcomes(
         notes_lost_percent=None if scenario == "cut" else 0,
         staleness_max=deployment.staleness_bound,
-        fetch_failed_percent=0 if is_quiet else None,
-        completion_failed_percent=0 if is_quiet else None,
+        fetch_failed_percent=0 if allows_no_failures else None,
+        completion_failed_percent=0 if allows_no_failures else None,
     )
 
 
 def _steps(deployment, scenario, rng):
-    yield from _steps_of(deployment, scenario, rng, deployment.trainer)
+    yield from _account_steps(deployment, scenario, rng, deployment.trainer)
     if scenario == "shares":
         for account in deployment.other_trainers:
             samples = OTHER_TRAINER_SAMPLES
-            yield from _steps_of(deployment, scenario, rng, account, samples)
+            yield from _account_steps(deployment, scenario, rng, account, samples)
 
 
-def _steps_of(deployment, scenario, rng, account, samples=None):
+def _account_steps(deployment, scenario, rng, account, samples=None):
     publishes = scenario in ("calm", "crash", "cut", "outage", "burst")
     for number in range(1, STEPS + 1):
         yield Step(
@@ -180,20 +181,20 @@
     max_tokens = SHARED_MAX_TOKENS if scenario == "shares" else MAX_TOKENS
     for number in range(deployment.groups):
         yield Group(
-            prompt=f"Group {number}: " + " ".join(_words(rng, PROMPT_WORDS)),
+            prompt=f"Group {number}: " + " ".join(_random_words(rng, PROMPT_WORDS)),
             samples=samples or deployment.samples,
             max_tokens=max_tokens,
             seed=rng.randrange(1 << 30),
         )
 
 
-def _words(rng, count):
+def _random_words(rng, count):
     for _ in range(count):
         yield "".join(rng.choice("abcdefghijklmnop") for _ in range(5))
 
 
-def _publishing(deployment, scenario):
-    """Publish while a step is under way, as an asynchronous trainer does."""
+def _publishes(deployment, scenario):
+    """Yield publishes during steps, as an asynchronous trainer sends them."""
     if scenario != "weights":
         return
     times = range(PUBLISH_INTERVAL_MS // 2, DURATION_MS, PUBLISH_INTERVAL_MS)
@@ -202,13 +203,13 @@
 
 
 def _fetches(deployment, rng):
-    for at_ms in _times(deployment.fetches_per_s, rng):
+    for at_ms in _arrival_times(deployment.fetches_per_s, rng):
         path = f"/panels/{rng.randrange(200)}"
         yield Fetch(at_ms, deployment.application, deployment.application_pool, path)
 
 
 def _notes(deployment, scenario, rng):
-    for number, at_ms in enumerate(_times(deployment.notes_per_s, rng)):
+    for number, at_ms in enumerate(_arrival_times(deployment.notes_per_s, rng)):
         body = f"note-{scenario}-{number}-{rng.randrange(1 << 30)}"
         yield Note(
             at_ms, deployment.application, deployment.application_pool, "/notes", body
@@ -217,23 +218,23 @@
 
 def _completions(deployment, scenario, rng):
     factor = BURST_FACTOR if scenario == "burst" else 1
-    for at_ms in _times(deployment.completions_per_s, rng, factor):
+    for at_ms in _arrival_times(deployment.completions_per_s, rng, factor):
         yield Completion(
             at_ms=at_ms,
             account=deployment.application,
             pool=deployment.engine_pool,
-            prompt=" ".join(_words(rng, PROMPT_WORDS)),
+            prompt=" ".join(_random_words(rng, PROMPT_WORDS)),
             max_tokens=COMPLETION_TOKENS,
             seed=rng.randrange(1 << 30),
             timeout_ms=COMPLETION_TIMEOUT_MS,
         )
 
 
-def _times(rate_per_s, rng, burst_factor=1):
+def _arrival_times(rate_per_s, rng, burst_factor=1):
     at_ms = 0.0
     while True:
-        busy = DURATION_MS / 6 < at_ms < DURATION_MS / 2
-        rate = rate_per_s * (burst_factor if busy else 1)
+        in_burst = DURATION_MS / 6 < at_ms < DURATION_MS / 2
+        rate = rate_per_s * (burst_factor if in_burst else 1)
         at_ms += rng.expovariate(rate) * MS_PER_SECOND
         if at_ms >= DURATION_MS * ARRIVALS_PERCENT / PERCENT:
             return
@@ -259,14 +260,14 @@
 
 
 def main():
-    """Write every trace below the directory that the first argument names."""
+    """Write all traces to the directory given as the first argument."""
     directory = pathlib.Path(sys.argv[1])
     for deployment in DEPLOYMENT_BY_NAME.values():
-        folder = directory / deployment.name
-        folder.mkdir(parents=True, exist_ok=True)
+        deployment_directory = directory / deployment.name
+        deployment_directory.mkdir(parents=True, exist_ok=True)
         for scenario in SCENARIOS:
-            head, entries = make(deployment, scenario, DEFAULT_SEED)
-            trace.write(folder / f"{scenario}.jsonl", head, entries)
+            head, entries = make_trace(deployment, scenario, DEFAULT_SEED)
+            trace.write(deployment_directory / f"{scenario}.jsonl", head, entries)
 
 
 if __name__ == "__main__":
--- a/goldcrestmoor/load/player.py
+++ b/goldcrestmoor/load/player.py
@@ -1,4 +1,4 @@
-"""Play a trace against running daemons and count what comes of it."""
+"""Play a trace against running daemons and count the outcomes."""
 
 import asyncio
 import logging
@@ -25,19 +25,20 @@
 
 
 class Player:
-    """Play one trace.
+    """Plays one trace.
 
-    Arrivals are open: each starts at its time whatever became of those before it,
-    and its latency counts from that time. Steps of one trainer follow one another.
+    The load is open-loop: each request starts at its scheduled time, whether or not
+    earlier ones have finished, and its latency counts from that time. Steps of one
+    trainer run one after another.
 
     :param clock: the :class:`~goldcrestmoor.clock.Clock`.
     :param http: the :class:`~goldcrestmoor.connection.http_client.HttpClient`.
-    :param urls: the hosts.
+    :param urls: the URLs of the hosts.
     :param token_by_account: the accounts' tokens.
-    :param models_by_pool: the model of each engine pool, for publishing.
-    :param staleness_by_account: each trainer's bound, in versions.
+    :param model_by_pool: the model of each engine pool, for publishing.
+    :param staleness_by_account: each trainer's staleness bound, in versions.
     :param control: the :class:`~goldcrestmoor.load.fleet_control.FleetControl`, or
-        None when nobody injects faults.
+        None when the fleet has no control server.
     """
 
     __slots__ = (
@@ -78,17 +79,18 @@
         self._trainer_by_account = {}
 
     async def play(self, entries):
-        """Play all entries and wait until their work is over.
+        """Play all entries and wait until their work is finished.
 
-        :param entries: a trace's entries, in the order of their times.
-        :return: how long it took, in milliseconds.
+        :param entries: a trace's entries, ordered by time.
+        :return: the duration in milliseconds.
         """
         self._started_ms = self._clock.now_ms()
         steps = [entry for entry in entries if isinstance(entry, Step)]
         accounts = dict.fromkeys(step.account for step in steps)
-        self._trainer_by_account = {name: self._trainer(name) for name in accounts}
+        self._trainer_by_account = {name: self._make_trainer(name) for name in accounts}
         trainers = [
-            asyncio.create_task(self._train(account, steps)) for account in accounts
+            asyncio.create_task(self._run_trainer(account, steps))
+            for account in accounts
         ]
         tasks = TaskGroup()
         pending = [
@@ -107,7 +109,7 @@
     async def _wait_until(self, at_ms):
         await self._clock.sleep_ms(self._started_ms + at_ms - self._clock.now_ms())
 
-    def _elapsed_ms(self, at_ms):
+    def _latency_ms(self, at_ms):
         return self._clock.now_ms() - self._started_ms - at_ms
 
     async def _play(self, entry, number):
@@ -115,7 +117,7 @@
             case Fetch():
                 await self._fetch(entry, number)
             case Note():
-                await self._save(entry)
+                await self._save_note(entry)
             case Completion():
                 await self._complete(entry, number)
             case Publish():
@@ -124,7 +126,7 @@
                 await self._inject(entry)
 
     async def _fetch(self, entry, number):
-        # Callers come in through the balancer, which spreads them over the hosts.
+        # Stands in for the load balancer that distributes callers over the hosts.
         url = self._urls[number % len(self._urls)]
         token = self._token_by_account[entry.account]
         try:
@@ -132,21 +134,21 @@
         except ServiceError as e:
             self.tally.fetch_failed += 1
             self.tally.errors_by_kind[e.code] += 1
-        self.tally.fetch.record(self._elapsed_ms(entry.at_ms))
+        self.tally.fetch.record(self._latency_ms(entry.at_ms))
 
     async def _complete(self, entry, number):
         url = self._urls[number % len(self._urls)]
         token = self._token_by_account[entry.account]
         try:
             body = await complete(self._http, url, token, entry)
-            answer = msgspec.json.decode(body, type=CompletionResponse)
-            self.tally.tokens_delivered += answer.usage.completion_tokens
+            response = msgspec.json.decode(body, type=CompletionResponse)
+            self.tally.tokens_delivered += response.usage.completion_tokens
         except ServiceError as e:
             self.tally.completion_failed += 1
             self.tally.errors_by_kind[e.code] += 1
-        self.tally.completion.record(self._elapsed_ms(entry.at_ms))
+        self.tally.completion.record(self._latency_ms(entry.at_ms))
 
-    async def _save(self, entry):
+    async def _save_note(self, entry):
         self.tally.notes_asked += 1
         client = self._notes_by_account.get(entry.account)
         if client is None:
@@ -154,23 +156,23 @@
             client = NotesClient(self._urls, token, clock=self._clock)
             self._notes_by_account[entry.account] = client
         path = f"/apps/{entry.pool}{entry.path}"
-        # The application counts its runs by this name, which makes it the witness.
+        # The application counts its runs by this id, independently of the daemons.
         headers = [(NOTE_HEADER, entry.body.encode())]
-        saved = await client.save(path, entry.body.encode(), NOTE_TIMEOUT_MS, headers)
-        self.tally.notes_saved += saved.outcome == Outcome.SAVED
-        self.tally.notes_unknown += saved.outcome == Outcome.UNKNOWN
-        self.tally.note.record(self._elapsed_ms(entry.at_ms))
+        result = await client.save(path, entry.body.encode(), NOTE_TIMEOUT_MS, headers)
+        self.tally.notes_saved += result.outcome == Outcome.SAVED
+        self.tally.notes_unknown += result.outcome == Outcome.UNKNOWN
+        self.tally.note.record(self._latency_ms(entry.at_ms))
 
     async def _inject(self, fault):
         if self._control is None:
             raise ServiceError(
                 ErrorKind.BAD_REQUEST,
-                "The trace has faults, but the fleet's plan names no control.",
+                "The trace has faults, but the fleet's plan has no control server.",
             )
         log.info("Injecting %s on %s.", fault.action, fault.target)
         await self._control.inject(fault)
 
-    def _trainer(self, account):
+    def _make_trainer(self, account):
         client = TrainerClient(
             self._urls,
             self._token_by_account[account],
@@ -180,7 +182,7 @@
         client.version = FIRST_VERSION
         return client
 
-    async def _train(self, account, steps):
+    async def _run_trainer(self, account, steps):
         client = self._trainer_by_account[account]
         for step in steps:
             if step.account == account:
@@ -190,9 +192,9 @@
         self.tally.doubled += client.dropped_held
 
     async def _run_step(self, client, step):
-        began_ms = self._clock.now_ms()
-        wanted = sum(group.samples for group in step.groups)
-        self.tally.samples_asked += wanted
+        started_ms = self._clock.now_ms()
+        sample_count = sum(group.samples for group in step.groups)
+        self.tally.samples_asked += sample_count
         groups = [
             GroupBody(number, group.prompt, group.samples, group.max_tokens, group.seed)
             for number, group in enumerate(step.groups)
@@ -204,15 +206,15 @@
             segment.tokens for s in samples.values() for segment in s.segments
         )
         self.tally.staleness += submitted.staleness_by_slot.values()
-        took_ms = self._clock.now_ms() - began_ms
-        self.tally.step_ms_by_account[step.account].append(took_ms)
-        log.info("Step %s took %d ms.", step.step, took_ms)
+        elapsed_ms = self._clock.now_ms() - started_ms
+        self.tally.step_ms_by_account[step.account].append(elapsed_ms)
+        log.info("Step %s took %d ms.", step.step, elapsed_ms)
         await self._clock.sleep_ms(step.train_ms)
         if step.publish:
             await self._publish(step.account, step.pool, step.publish)
 
     async def _collect(self, client, step, groups):
-        """Return the step with whatever samples came in."""
+        """Return the step with the samples received, complete or not."""
         body = SubmitBody(step.step, step.pool, client.version, tuple(groups))
         submitted = ClientStep(body)
         try:
--- a/goldcrestmoor/load/tally.py
+++ b/goldcrestmoor/load/tally.py
@@ -1,4 +1,4 @@
-"""Counts that a replay keeps while it runs."""
+"""Counters and latency histograms of a running replay."""
 
 import collections
 
@@ -6,26 +6,28 @@
 
 from goldcrestmoor.load.report import Latency
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 US_PER_MS = 1000
 
 
 class LatencyTally:
-    """Latencies from the intended start, so that no wait is left out."""
+    """Histogram of latencies from the intended start, so that all waits count."""
 
     __slots__ = ("_histogram",)
 
     def __init__(self):
-        self._histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+        self._histogram = HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+        )
 
     def record(self, latency_ms):
         """Add one latency.
 
-        :param latency_ms: in milliseconds.
+        :param latency_ms: the latency in milliseconds.
         """
-        self._histogram.record_value(max(LOWEST_US, int(latency_ms * US_PER_MS)))
+        self._histogram.record_value(max(MIN_LATENCY_US, int(latency_ms * US_PER_MS)))
 
     def result(self):
         """Return the :class:`~goldcrestmoor.load.report.Latency` so far."""
@@ -39,7 +41,7 @@
 
 
 class Tally:
-    """Everything that a replay counts."""
+    """All counters of a replay."""
 
     __slots__ = (
         "fetch",
--- a/test/test_explaining.py
+++ b/test/test_explaining.py
@@ -1,6 +1,6 @@
-"""From a failed request's id to the fault that was injected, by the logs alone.
+"""Diagnoses injected faults from request ids, using only the logs.
 
-The steps are those of docs/OPERATIONS.md; they see no more than the lines.
+The steps follow docs/OPERATIONS.md and use nothing but the log lines.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Logs:
-    """The lines of all hosts, searched as an engineer would.
+    """The log lines of all hosts, searched as an engineer would.
 
     :param lines: ``(host, line)`` pairs, the lines decoded.
     """
@@ -27,7 +27,7 @@
         self.lines = lines
 
     def of_request(self, request_id, part):
-        """Return the messages of a part that belong to a request or name it."""
+        """Return a component's messages that have a request's id or mention it."""
         return [
             line["message"]
             for _, line in self.lines
@@ -36,30 +36,30 @@
         ]
 
     def explain_request(self, request_id):
-        """A fetch that was refused, late or failed: steps 1 and 2."""
-        ends = self.of_request(request_id, "callers")
-        tries = " ".join(self.of_request(request_id, "forward"))
-        if not ends:
-            return "answered" if "answered 200" in tries else "unknown"
-        if "There is no such route" in ends[-1]:
+        """Diagnose a fetch that was rejected, late or failed: steps 1 and 2."""
+        caller_messages = self.of_request(request_id, "callers")
+        attempts = " ".join(self.of_request(request_id, "forward"))
+        if not caller_messages:
+            return "answered" if "answered 200" in attempts else "unknown"
+        if "There is no such route" in caller_messages[-1]:
             return "no such route"
         for phrase, cause in (
-            ("spoilt or another's", "answers of other requests"),
-            ("answered 503", "servers refuse"),
-            ("cannot be reached", "servers gone"),
-            (", 0 of ", "its time is up"),
-            ("gave no whole answer", "answers lost"),
+            ("spoilt or another's", "responses of other requests"),
+            ("answered 503", "servers reject"),
+            ("cannot be reached", "servers unreachable"),
+            (", 0 of ", "deadline passed"),
+            ("gave no whole answer", "responses lost"),
         ):
-            if phrase in tries:
+            if phrase in attempts:
                 return cause
         return "unknown"
 
     def explain_job(self, job_id):
-        """A step that is short of groups: steps 1 and 2."""
+        """Diagnose a job that was rejected or lost its runner: steps 1 and 2."""
         if not any("is accepted" in text for text in self.of_request(job_id, "desk")):
             refusals = " ".join(self.of_request(job_id, "callers"))
             if "store is not heard" in refusals or "store is unavailable" in refusals:
-                return "store away"
+                return "store unavailable"
             return "unknown"
         runners = [
             host
@@ -69,13 +69,13 @@
         return "runner gone" if len(set(runners)) > 1 else "unknown"
 
     def explain_item(self, item_id):
-        """An item given up or run again: steps 1 to 3."""
-        texts = " ".join(self.of_request(item_id, "scheduler"))
-        if "can never be done" in texts:
+        """Diagnose an item that was abandoned or run again: steps 1 to 3."""
+        messages = " ".join(self.of_request(item_id, "scheduler"))
+        if "can never be done" in messages:
             return "impossible item"
-        if re.search(rf"Item {item_id} failed \d+ times", texts):
+        if re.search(rf"Item {item_id} failed \d+ times", messages):
             return "engines fail"
-        if "broken off" in texts:
+        if "broken off" in messages:
             return "streams cut"
         return "unknown"
 
@@ -93,57 +93,57 @@
         return f"id{self.count:03d}x"
 
     async def fetch(self, cause, status, path=FETCH_PATH):
-        """Make a request that meets a fault, and note its id with the cause."""
+        """Send a request that hits a fault, and record its id with the cause."""
         request_id = self.new_id()
         answer = await self.fleet.ask(HOST, "POST", path, b"x", request_id)
         self.assertEqual(answer.status, status, (cause, answer.body))
         self.known.append(("request", request_id, cause))
 
-    async def servers_refuse(self):
+    async def servers_reject(self):
         for app in self.fleet.apps:
             app.refusing = True
-        await self.fetch("servers refuse", 429)
+        await self.fetch("servers reject", 429)
         for app in self.fleet.apps:
             app.refusing = False
 
-    async def servers_gone(self):
+    async def servers_unreachable(self):
         ports = [app.port for app in self.fleet.apps]
         for app in self.fleet.apps:
             await app.close()
-        await self.fetch("servers gone", 429)
+        await self.fetch("servers unreachable", 429)
         for app, port in zip(self.fleet.apps, ports, strict=True):
             await app.start(port)
 
-    async def answers_lost(self):
+    async def responses_lost(self):
         for app in self.fleet.apps:
             app.lose = True
-        await self.fetch("answers lost", 502, "/once/x")
+        await self.fetch("responses lost", 502, "/once/x")
         for app in self.fleet.apps:
             app.lose = False
 
-    async def answers_of_others(self):
+    async def responses_of_others(self):
         for app in self.fleet.apps:
             app.echo = "another"
-        await self.fetch("answers of other requests", 502, "/once/x")
+        await self.fetch("responses of other requests", 502, "/once/x")
         for app in self.fleet.apps:
             app.echo = None
 
-    async def time_is_up(self):
+    async def deadline_passed(self):
         for app in self.fleet.apps:
             app.delay_s = 3
-        await self.fetch("its time is up", 504, "/once/x")
+        await self.fetch("deadline passed", 504, "/once/x")
         for app in self.fleet.apps:
             app.delay_s = 0
 
     async def no_such_route(self):
         await self.fetch("no such route", 404, "/nowhere/x")
 
-    async def store_away(self):
+    async def store_unavailable(self):
         self.fleet.store.mode = "busy"
         await asyncio.sleep(2)
         job_id = self.new_id()
         self.assertEqual(await self.submit(job_id), 503)
-        self.known.append(("job", job_id, "store away"))
+        self.known.append(("job", job_id, "store unavailable"))
         self.fleet.store.mode = ""
         await _common.eventually(self.accepts)
 
@@ -154,7 +154,7 @@
         return await self.submit(self.new_id()) == 202
 
     async def item_ends(self, cause, prepare):
-        """Run a job whose items meet a fault, and note their ids."""
+        """Run a job whose items hit a fault, and record their ids."""
         job_id = self.new_id()
         prepare()
         self.assertEqual(await self.submit(job_id), 202)
@@ -194,7 +194,7 @@
         self.known.append(("job", job_id, "runner gone"))
 
     async def serves(self):
-        """Tell whether the host knows its servers again."""
+        """Return whether the host can reach its application servers again."""
         answer = await self.fleet.ask(HOST, "POST", FETCH_PATH, b"x", self.new_id())
         return answer.status == 200
 
@@ -204,13 +204,13 @@
         await _common.eventually(self.serves)
         await _common.eventually(self.accepts)
         faults = [
-            self.servers_refuse,
-            self.servers_gone,
-            self.answers_lost,
-            self.answers_of_others,
-            self.time_is_up,
+            self.servers_reject,
+            self.servers_unreachable,
+            self.responses_lost,
+            self.responses_of_others,
+            self.deadline_passed,
             self.no_such_route,
-            self.store_away,
+            self.store_unavailable,
             self.engines_fail,
             self.impossible_items,
             self.streams_cut,
@@ -220,7 +220,7 @@
         for fault in faults:
             await fault()
             await _common.eventually(self.serves)
-        # The lines are written by a thread of their own.
+        # A separate thread writes the log lines.
         await asyncio.sleep(0.5)
         logs = Logs(list(self.lines()))
         explain = {
--- a/test/test_replay.py
+++ b/test/test_replay.py
@@ -1,4 +1,4 @@
-"""A trace is replayed whole against a small fleet, and held to its outcomes."""
+"""Replays a trace against a small fleet and checks the stated outcomes."""
 
 import json
 import pathlib
@@ -19,7 +19,7 @@
 
 
 def tiny_trace():
-    """Return a head and a trace that ends in about a second."""
+    """Return the head and entries of a trace that takes about a second."""
     trainer, application = TISZA.trainer, TISZA.application
     engines, desk = TISZA.engine_pool, TISZA.application_pool
     groups = tuple(Group(f"group {i}", SAMPLES // 2, 12, i) for i in range(2))
@@ -54,7 +54,7 @@
         self.plan_path = str(plan_path)
 
     async def replay(self, head, entries, *options):
-        """Run the command as a user does; return its exit code and output."""
+        """Run the command in a process; return its exit code and output."""
         path = self.folder / "trace.jsonl"
         trace.write(path, head, entries)
         arguments = ["replay", str(path), "--fleet", self.plan_path, *options]
@@ -103,10 +103,12 @@
 
 
 class ComparisonTest(unittest.TestCase):
-    def test_every_way_is_good_settings(self):
+    def test_every_variant_has_valid_settings(self):
         for comparison in compare.COMPARISON_BY_NAME.values():
-            for way in comparison.ways:
-                plan = replay_fleet.make_plan(TISZA, way.policy, terms=way.terms)
+            for variant in comparison.variants:
+                plan = replay_fleet.make_plan(
+                    TISZA, variant.policy, terms=variant.terms
+                )
                 fleet = replay_fleet.ReplayFleet(plan).fleet
                 document = fleet.settings_of(fleet.hosts[0].id)
                 document["platform"]["port"] = 1
