--- a/test/proofs/_fleet.py
+++ b/test/proofs/_fleet.py
@@ -17,11 +17,11 @@
 REFUSED = 9
 UNKNOWN = 7
 UNKNOWN_TEXT = "unknown, ask SHOW VERSION"
-IN_FORCE_S = 15
+MAX_EFFECT_DELAY_S = 15
 REPEATS = 5
 OK = 200
 # Short leases let a change come into force within three seconds.
-SHORT = {
+SHORT_INTERVALS = {
     "configuration": {
         "poll_ms": 200,
         "lease_ms": 2000,
@@ -35,8 +35,8 @@
     },
 }
 # Served by hosts that are cut off as well, unlike those of account().
-DESK = AccountPlan("desk", "application", "desk", ("dash-api",))
-APPS = PoolPlan("dash-api", "application", {"zone-a": 1, "zone-b": 1})
+DESK_ACCOUNT = AccountPlan("desk", "application", "desk", ("dash-api",))
+APP_POOL = PoolPlan("dash-api", "application", {"zone-a": 1, "zone-b": 1})
 
 
 def engines(**options):
@@ -49,7 +49,7 @@
     return f"CREATE ACCOUNT {name} KIND {kind} TOKEN '{name}' POOLS ({pools}) {rest};"
 
 
-class Answer(msgspec.Struct):
+class CommandResult(msgspec.Struct):
     """What ``goldcrestmoor ask`` exited with and printed."""
 
     code: int
@@ -69,7 +69,9 @@
 class FleetCase(unittest.IsolatedAsyncioTestCase):
     """A test with a fleet behind a network of links."""
 
-    async def start(self, commands="", hosts=1, pools=(APPS,), settings=SHORT, **plan):
+    async def start(
+        self, commands="", hosts=1, pools=(APP_POOL,), settings=SHORT_INTERVALS, **plan
+    ):
         """Start a fleet of two zones and give it commands."""
         self.network = Network()
         zones = {"zone-a": hosts, "zone-b": hosts}
@@ -84,9 +86,9 @@
 
     async def change(self, command, host_id=None):
         """Give one command through the command line."""
-        return Answer(*await self.fleet.ask(command, host_id))
+        return CommandResult(*await self.fleet.ask(command, host_id))
 
-    async def ask_directly(self, host_id, text, base_version=None):
+    async def post_command(self, host_id, text, base_version=None):
         """Give one command without the command line.
 
         :return: the status and the decoded answer.
@@ -99,7 +101,7 @@
 
     async def show(self, host_id, text):
         """Return the rows that a host shows, as dicts; none without an answer."""
-        _, table = await self.ask_directly(host_id, text)
+        _, table = await self.post_command(host_id, text)
         columns = table.get("columns", ())
         return [dict(zip(columns, r, strict=True)) for r in table.get("rows", ())]
 
@@ -171,7 +173,7 @@
         control = self.fleet.platform_control
         return await self.fleet.get_json(control, "/control/stats")
 
-    async def runs_of(self, path):
+    async def run_count(self, path):
         """Return how often the applications ran a path, by their own count."""
         total = 0
         for upstream in self.fleet.upstreams:
--- a/test/proofs/_requests.py
+++ b/test/proofs/_requests.py
@@ -89,17 +89,19 @@
 
 def call_once(url, method, path, body=None, headers=None, on_status=None):
     """Send one request on a connection of its own, from a thread."""
-    place = url.removeprefix("http://")
+    host_and_port = url.removeprefix("http://")
     timeout_s = CALLER_TIMEOUT_MS / MS_PER_SECOND
-    connection = http.client.HTTPConnection(place, timeout=timeout_s)
-    sent = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
+    connection = http.client.HTTPConnection(host_and_port, timeout=timeout_s)
+    sent_headers = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
     try:
-        connection.request(method, path, body, sent)
+        connection.request(method, path, body, sent_headers)
         response = connection.getresponse()
         if on_status is not None:
             on_status(response.status)
-        got = {name.lower(): value for name, value in response.getheaders()}
-        return Answer(response.status, response.read(), got)
+        response_headers = {
+            name.lower(): value for name, value in response.getheaders()
+        }
+        return Answer(response.status, response.read(), response_headers)
     except (OSError, http.client.HTTPException):
         return Answer(0)
     finally:
@@ -140,8 +142,8 @@
 
     async def complete(self, host, tokens, *, stream=False, prompt="p", **options):
         """Ask for a completion."""
-        asked = {"model": "lm", "prompt": prompt, "max_tokens": tokens}
-        body = json.dumps(asked | {"stream": stream})
+        fields = {"model": "lm", "prompt": prompt, "max_tokens": tokens}
+        body = json.dumps(fields | {"stream": stream})
         return await self.call(host, "POST", "/v1/completions", body, **options)
 
     async def mint(self, host):
@@ -155,7 +157,7 @@
         endpoint = self.fleet.endpoint_by_id[upstream]
         return await self.fleet.get_json(endpoint, "/control/counts")
 
-    async def runs(self, name):
+    async def run_count(self, name):
         """Return how often the applications ran a note, or a path."""
         total = 0
         for upstream in self.fleet.upstreams:
@@ -208,12 +210,12 @@
 
     async def check_not_run(self, answer, name):
         """Hold an error to what it says, with the applications as witness."""
-        runs = await self.runs(name)
-        self.assertLessEqual(runs, 1)
+        run_count = await self.run_count(name)
+        self.assertLessEqual(run_count, 1)
         if answer.ran == Ran.NOT_RUN:
-            self.assertEqual(runs, 0, f"{name}: {answer.body}")
+            self.assertEqual(run_count, 0, f"{name}: {answer.body}")
         if answer.status == 201:
-            self.assertEqual(runs, 1, name)
+            self.assertEqual(run_count, 1, name)
 
 
 class NotesCase(RequestCase):
@@ -221,7 +223,7 @@
         """Return one key of each kind: minted by the first host, and the caller's."""
         return {"minted": await self.mint(self.hosts[0]), "claimed": f"k-{id(self)}"}
 
-    async def check_once(self, name, answers):
+    async def check_answers(self, name, answers):
         """Hold what callers were told to the applications' count."""
         for answer in answers:
             await self.check_not_run(answer, name)
--- a/test/proofs/_steps.py
+++ b/test/proofs/_steps.py
@@ -63,7 +63,7 @@
         self.version = 1
         self.group_by_index = {}
         self.held = {}
-        self.faults = []
+        self.violations = []
         self.status = None
         self._seen_by_slot = {}
         self._headers = {"Authorization": f"Bearer {token}"}
@@ -77,8 +77,8 @@
     async def submit(self, host, groups=2, samples=3, max_tokens=20, **fields):
         """Submit the step until a host takes it."""
         self.group_by_index = {
-            i: GroupBody(i, f"prompt {i} of {self.step}", samples, most, 100 * i)
-            for i, most in enumerate(_per_group(max_tokens, groups))
+            i: GroupBody(i, f"prompt {i} of {self.step}", samples, limit, 100 * i)
+            for i, limit in enumerate(_per_group(max_tokens, groups))
         }
         body = {
             "step": self.step,
@@ -123,12 +123,12 @@
         version=None,
         wait_ms=PULL_WAIT_MS,
         timeout_ms=PULL_TIMEOUT_MS,
-        take=True,
+        keep=True,
     ):
         """Pull once and check what comes; None when the host gave no answer.
 
         :param held: the slots to name, all that it has when left out.
-        :param take: whether to keep what comes.
+        :param keep: whether to keep what comes.
         """
         held = frozenset(self.held if held is None else held)
         version = self.version if version is None else version
@@ -142,20 +142,20 @@
         answer = msgspec.json.decode(data, type=PullAnswer)
         slots = [sample.slot for sample in answer.samples]
         if len(set(slots)) < len(slots) or held & set(slots):
-            self.faults.append(f"Doubled in one answer: {slots}, held {held}.")
+            self.violations.append(f"Doubled in one answer: {slots}, held {held}.")
         if answer.complete and set(slots) | held != self.slots:
-            self.faults.append(f"Called complete with {slots} and {held}.")
+            self.violations.append(f"Called complete with {slots} and {held}.")
         for sample in answer.samples:
             self._check(sample, version)
-            if take:
-                self._take(sample)
+            if keep:
+                self._hold(sample)
         return answer
 
     async def collect(self, *hosts):
         """Pull through hosts in turn until every slot is held."""
         turn = 0
 
-        async def whole():
+        async def all_held():
             nonlocal turn
             # A pull that names every slot would let the service forget the step.
             if set(self.held) == self.slots:
@@ -164,10 +164,10 @@
             turn += 1
             return False
 
-        await _common.eventually(whole)
+        await _common.eventually(all_held)
         return dict(self.held)
 
-    def _take(self, sample):
+    def _hold(self, sample):
         # A trainer whose version moved on while the answer was under way looks at
         # the versions that the sample names.
         if oldest_version(sample) >= self.version - self.bound:
@@ -176,21 +176,23 @@
     def _check(self, sample, version):
         oldest = oldest_version(sample)
         if oldest < version - self.bound:
-            self.faults.append(f"Stale for version {version}: {sample}.")
+            self.violations.append(f"Stale for version {version}: {sample}.")
         seen = self._seen_by_slot.get(sample.slot)
         # Only what went stale may be replaced.
         is_other = seen is not None and seen.digest != sample.digest
         if is_other and oldest_version(seen) >= self.version - self.bound:
-            self.faults.append(f"Two samples for a slot: {seen} and {sample}.")
+            self.violations.append(f"Two samples for a slot: {seen} and {sample}.")
         self._seen_by_slot[sample.slot] = sample
-        self.faults += wrong_text(self.group_by_index[sample.slot.group], sample)
+        self.violations += find_output_errors(
+            self.group_by_index[sample.slot.group], sample
+        )
 
 
 def _per_group(max_tokens, groups):
     return [max_tokens] * groups if isinstance(max_tokens, int) else max_tokens
 
 
-def wrong_text(group, sample):
+def find_output_errors(group, sample):
     """Yield what is wrong with a sample's text, which tells what made each token."""
     index = 0
     for segment in sample.segments:
@@ -219,13 +221,13 @@
     return min(versions_of(sample))
 
 
-def makers_of(sample):
+def engine_ports_of(sample):
     """Return the port of the engine that made each of a sample's tokens."""
     words = " ".join(segment.text for segment in sample.segments).split()
     return [int(word.split(".")[2].partition("-")[0]) for word in words]
 
 
-async def recorded(fleet, table=GROUPS_TABLE):
+async def recorded_rows(fleet, table=GROUPS_TABLE):
     """Return the rows of a table as the platform has them, also in an outage."""
     _, body = await http_get(f"{fleet.platform_control.url}/tables/{table}?prefix=")
     return json.loads(body or b'{"rows": []}')["rows"]
@@ -234,7 +236,7 @@
 async def recorded_samples(fleet):
     """Return the samples that the platform has recorded, by slot."""
     samples = {}
-    for row in await recorded(fleet):
+    for row in await recorded_rows(fleet):
         value = base64.b64decode(row["value"])
         key = msgspec.msgpack.decode(value, type=GroupRow).object_key
         path = urllib.parse.quote(key, safe="")
@@ -259,7 +261,7 @@
         await self.fleet.start()
         self.engines = self.fleet.upstreams
         trainer = Trainer(self.fleet, bound=plan.get("bound", 1))
-        self.addCleanup(lambda: self.assertEqual(trainer.faults, []))
+        self.addCleanup(lambda: self.assertEqual(trainer.violations, []))
         return trainer
 
     async def assert_same_for_a_restarted_trainer(self, trainer, *hosts):
@@ -279,7 +281,7 @@
     async def counts(self, engine):
         return await self.fleet.get_json(engine, "/control/counts") or {}
 
-    async def until(self, engine, name, least):
+    async def wait_count(self, engine, name, least):
         """Wait until an engine has counted so much."""
 
         async def reached():
@@ -287,7 +289,7 @@
 
         await _common.eventually(reached)
 
-    async def ordered(self, engine, version):
+    async def wait_ordered(self, engine, version):
         """Wait until an engine has been ordered to load a version."""
 
         async def reached():
@@ -296,7 +298,7 @@
 
         await _common.eventually(reached)
 
-    async def runs(self, engine, version):
+    async def wait_engine_version(self, engine, version):
         """Wait until an engine runs a version."""
 
         async def reached():
@@ -304,7 +306,7 @@
 
         await _common.eventually(reached)
 
-    async def set(self, engine, **options):
+    async def set_engine(self, engine, **options):
         await self.fleet.control(engine, "set", **options)
 
     async def platform(self, name, **body):
--- a/test/proofs/histories.py
+++ b/test/proofs/histories.py
@@ -22,51 +22,51 @@
 from test.proofs._steps import MODEL, Trainer, make_plan
 
 DESK_TOKEN = "history-desk"
-DESK = "dash-api"
-FAULTS = 6
+APP_POOL = "dash-api"
+FAULT_COUNT = 6
 FAULT_MIN_S = 0.2
 FAULT_MAX_S = 1.5
 NOTE_TIMEOUT_MS = 4000
 FETCH_TIMEOUT_MS = 2000
-MAX_BOUND = 2
-LAST_TIMEOUT_S = 60
+MAX_STALENESS_BOUND = 2
+FINISH_TIMEOUT_S = 60
 ERROR_CHARACTERS = 4000
 ACCEPTED = 0
 REFUSED = "refused:"
-LOSING = ("kill", "freeze", "cut", "outage", "terminate")
+DATA_LOSS_FAULTS = ("kill", "freeze", "cut", "outage", "terminate")
 
 
 class History:
     """One run: what is done, by a seed, and what was found wrong.
 
     :param seed: the seed of every choice.
-    :param tell: called with each line of the history.
+    :param on_line: called with each line of the history.
     """
 
-    def __init__(self, seed, tell=None):
+    def __init__(self, seed, on_line=None):
         # Each part has choices of its own, whatever the others are slowed by.
         self.rng = random.Random(seed)
         self._rng_by_part = collections.defaultdict(lambda: random.Random(seed))
         self.seed = seed
-        self.faults = []
+        self.violations = []
         self.lines = []
-        self.bound = self.rng.randint(0, MAX_BOUND)
+        self.bound = self.rng.randint(0, MAX_STALENESS_BOUND)
         self.network = Network()
         self.fleet = Fleet(self._plan(), self.network)
         self.version = self.published = 1
         self.shares = [1]
         self.outcome_by_note = {}
         self.done = {"steps": 0, "fetches": 0, "notes": 0}
-        self._tell = tell or (lambda line: None)
+        self._on_line = on_line or (lambda line: None)
         self._started = time.monotonic()
-        self._lossy = []
-        self._taken = set()
-        self._over = False
+        self._lossy_faults = []
+        self._busy = set()
+        self._is_over = False
 
     def _plan(self):
         plan = make_plan(bound=self.bound, token_ms=6.0)
-        app = PoolPlan(DESK, "application", {"zone-a": 1, "zone-b": 1})
-        desk = AccountPlan("desk", "application", DESK_TOKEN, (DESK,))
+        app = PoolPlan(APP_POOL, "application", {"zone-a": 1, "zone-b": 1})
+        desk = AccountPlan("desk", "application", DESK_TOKEN, (APP_POOL,))
         return msgspec.structs.replace(
             plan, pools=(*plan.pools, app), accounts=(*plan.accounts, desk)
         )
@@ -74,172 +74,181 @@
     async def run(self):
         """Run it and return what was found wrong."""
         async with self.fleet:
-            self._say(f"seed {self.seed}, staleness bound {self.bound}")
-            work = [self._train(), self._fetch(), self._save_notes(), self._operate()]
+            self._log(f"seed {self.seed}, staleness bound {self.bound}")
+            work = [
+                self._train(),
+                self._fetch(),
+                self._save_notes(),
+                self._change_shares(),
+            ]
             tasks = [asyncio.create_task(coroutine) for coroutine in work]
-            await self._break_things()
-            self._over = True
-            self._say("all is mended")
+            await self._inject_faults()
+            self._is_over = True
+            self._log("all is mended")
             try:
-                async with asyncio.timeout(LAST_TIMEOUT_S):
+                async with asyncio.timeout(FINISH_TIMEOUT_S):
                     await asyncio.gather(*tasks)
                 await self._check_notes()
                 await self._check_shares()
             except (TimeoutError, AssertionError) as e:
-                self._find(f"Not whole after all was mended: {e!r}")
+                self._record_violation(f"Not whole after all was mended: {e!r}")
             for name, process in self.fleet.process_by_id.items():
                 if not process.alive():
-                    self._find(f"{name} ended by itself: {process.log_tail()}")
+                    self._record_violation(
+                        f"{name} ended by itself: {process.log_tail()}"
+                    )
                 if "Traceback" in process.log():
-                    self._find(f"{name} met an error: {_first_traceback(process)}")
-        self._say(f"done: {self.done}, notes {collections.Counter(self._outcomes())}")
-        return self.faults
+                    self._record_violation(
+                        f"{name} met an error: {_first_traceback(process)}"
+                    )
+        self._log(f"done: {self.done}, notes {collections.Counter(self._outcomes())}")
+        return self.violations
 
     def _outcomes(self):
         return [outcome.value for outcome in self.outcome_by_note.values()]
 
-    def _say(self, line):
+    def _log(self, line):
         line = f"{time.monotonic() - self._started:6.2f} {line}"
         self.lines.append(line)
-        self._tell(line)
+        self._on_line(line)
 
-    def _find(self, fault):
-        self.faults.append(fault)
-        self._say(f"WRONG: {fault}")
+    def _record_violation(self, fault):
+        self.violations.append(fault)
+        self._log(f"WRONG: {fault}")
 
     def _host(self, part):
         return self._rng_by_part[part].choice(self.fleet.hosts)
 
-    def _idle_host(self):
+    def _claim_idle_host(self):
         """Return a host that nothing is done to, and take it; or None."""
         host = self.rng.choice(self.fleet.hosts).id
-        if host in self._taken:
+        if host in self._busy:
             return None
-        self._taken.add(host)
+        self._busy.add(host)
         return host
 
     # What is broken and mended again.
 
-    async def _break_things(self):
+    async def _inject_faults(self):
         names = ("kill", "terminate", "freeze", "cut", "outage", "lose_answers")
         names += ("fail_swap", "kill_engine", "silence_engine", "silence_old", "delay")
         pending = []
-        for _ in range(FAULTS):
+        for _ in range(FAULT_COUNT):
             name = self.rng.choice(names)
-            span_s = self.rng.uniform(FAULT_MIN_S, FAULT_MAX_S)
-            if name in LOSING:
+            duration_s = self.rng.uniform(FAULT_MIN_S, FAULT_MAX_S)
+            if name in DATA_LOSS_FAULTS:
                 # What only two hosts keep is lost with both.
-                self._lossy.append(name)
-            pending.append(asyncio.create_task(getattr(self, f"_{name}")(span_s)))
-            await asyncio.sleep(span_s * self.rng.uniform(0.5, 1.2))
+                self._lossy_faults.append(name)
+            pending.append(asyncio.create_task(getattr(self, f"_{name}")(duration_s)))
+            await asyncio.sleep(duration_s * self.rng.uniform(0.5, 1.2))
         await asyncio.gather(*pending)
 
     def _may_lose_copies(self):
-        return len(self._lossy) > 1
+        return len(self._lossy_faults) > 1
 
-    async def _kill(self, span_s, how="kill"):
-        host = self._idle_host()
+    async def _kill(self, duration_s, how="kill"):
+        host = self._claim_idle_host()
         if host is None:
             return
-        self._say(f"{how} {host}")
+        self._log(f"{how} {host}")
         getattr(self.fleet, how)(host)
         await self.fleet.process_by_id[host].wait()
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         await self.fleet.start_host(host)
-        self._say(f"{host} is back")
-        self._taken.discard(host)
+        self._log(f"{host} is back")
+        self._busy.discard(host)
 
-    async def _terminate(self, span_s):
-        await self._kill(span_s, "terminate")
+    async def _terminate(self, duration_s):
+        await self._kill(duration_s, "terminate")
 
-    async def _freeze(self, span_s):
-        host = self._idle_host()
+    async def _freeze(self, duration_s):
+        host = self._claim_idle_host()
         if host is None:
             return
-        self._say(f"freeze {host} for {span_s * 3:.1f} s")
+        self._log(f"freeze {host} for {duration_s * 3:.1f} s")
         process = self.fleet.process_by_id[host]
         process.freeze()
-        await asyncio.sleep(span_s * 3)
+        await asyncio.sleep(duration_s * 3)
         process.thaw()
-        self._taken.discard(host)
+        self._busy.discard(host)
 
-    async def _cut(self, span_s):
+    async def _cut(self, duration_s):
         zone = self.rng.choice(("zone-a", "zone-b"))
-        terms = {"from_platform": self.rng.random() < 0.7}
-        self._say(f"cut {zone} {terms} for {span_s * 2:.1f} s")
-        self.network.cut(zone, **terms)
-        await asyncio.sleep(span_s * 2)
+        options = {"from_platform": self.rng.random() < 0.7}
+        self._log(f"cut {zone} {options} for {duration_s * 2:.1f} s")
+        self.network.cut(zone, **options)
+        await asyncio.sleep(duration_s * 2)
         self.network.mend()
 
-    async def _outage(self, span_s):
+    async def _outage(self, duration_s):
         mode = self.rng.choice(("refuse", "hang"))
-        self._say(f"platform out ({mode}) for {span_s * 2:.1f} s")
+        self._log(f"platform out ({mode}) for {duration_s * 2:.1f} s")
         control = self.fleet.platform_control
         await self.fleet.control(control, "outage", on=True, mode=mode)
-        await asyncio.sleep(span_s * 2)
+        await asyncio.sleep(duration_s * 2)
         await self.fleet.control(control, "outage", on=False)
 
-    async def _lose_answers(self, span_s):
+    async def _lose_answers(self, duration_s):
         count = self.rng.randint(1, 4)
-        self._say(f"lose {count} answers to writes")
+        self._log(f"lose {count} answers to writes")
         control = self.fleet.platform_control
         await self.fleet.control(control, "lose_answers", count=count)
 
     def _engine(self):
-        engines = [u for u in self.fleet.upstreams if u.pool != DESK]
+        engines = [u for u in self.fleet.upstreams if u.pool != APP_POOL]
         return self.rng.choice(engines)
 
-    async def _set_for(self, span_s, engine, name, value, normal):
-        self._say(f"{engine.id}: {name} for {span_s:.1f} s")
+    async def _set_for(self, duration_s, engine, name, value, normal):
+        self._log(f"{engine.id}: {name} for {duration_s:.1f} s")
         try:
             await self.fleet.control(engine, "set", **{name: value})
-            await asyncio.sleep(span_s)
+            await asyncio.sleep(duration_s)
             await self.fleet.control(engine, "set", **{name: normal})
         except AssertionError:
-            self._say(f"{engine.id} is down")
+            self._log(f"{engine.id} is down")
 
-    async def _fail_swap(self, span_s):
-        await self._set_for(span_s, self._engine(), "fail_swap", True, False)
+    async def _fail_swap(self, duration_s):
+        await self._set_for(duration_s, self._engine(), "fail_swap", True, False)
 
-    async def _silence_engine(self, span_s):
-        await self._set_for(span_s, self._engine(), "silent_after", 3, -1)
+    async def _silence_engine(self, duration_s):
+        await self._set_for(duration_s, self._engine(), "silent_after", 3, -1)
 
-    async def _kill_engine(self, span_s):
+    async def _kill_engine(self, duration_s):
         engine = self._engine().id
-        if engine in self._taken:
+        if engine in self._busy:
             return
-        self._taken.add(engine)
-        self._say(f"kill {engine}")
+        self._busy.add(engine)
+        self._log(f"kill {engine}")
         self.fleet.kill(engine)
         await self.fleet.process_by_id[engine].wait()
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         await self.fleet.start_upstream(engine)
-        self._taken.discard(engine)
+        self._busy.discard(engine)
 
-    async def _silence_old(self, span_s):
+    async def _silence_old(self, duration_s):
         target = self.rng.choice(sorted(self.network.links_by_id))
-        self._say(f"old connections to {target} go silent")
+        self._log(f"old connections to {target} go silent")
         self.network.links_by_id[target].silence_old()
 
-    async def _delay(self, span_s):
+    async def _delay(self, duration_s):
         target = self.rng.choice(sorted(self.network.links_by_id))
-        self._say(f"delay {target} for {span_s:.1f} s")
+        self._log(f"delay {target} for {duration_s:.1f} s")
         self.network.links_by_id[target].delay(self.rng.choice((50, 200, 700)))
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         self.network.links_by_id[target].delay(0)
 
     # What goes on meanwhile.
 
     async def _train(self):
-        while not self._over:
+        while not self._is_over:
             trainer = Trainer(self.fleet, f"s{self.done['steps']}", self.bound)
             trainer.version = self.version
             await self._train_one(trainer)
-            for fault in trainer.faults:
+            for fault in trainer.violations:
                 # A sample of a slot may differ from one that was lost with both of
                 # the hosts that kept it.
                 if not (fault.startswith("Two samples") and self._may_lose_copies()):
-                    self._find(fault)
+                    self._record_violation(fault)
             self.done["steps"] += 1
 
     async def _train_one(self, trainer):
@@ -251,20 +260,22 @@
             await trainer.pull(self._host("train").id, wait_ms=500)
             if trainer.status == 404:
                 if not self._may_lose_copies():
-                    self._find(f"{trainer.step} was accepted and forgotten.")
+                    self._record_violation(
+                        f"{trainer.step} was accepted and forgotten."
+                    )
                 await trainer.submit(self._host("train").id, **size)
-            dice = rng.random()
-            if dice < 0.1 and not self._over:
+            draw = rng.random()
+            if draw < 0.1 and not self._is_over:
                 kept = [s for s in trainer.held if rng.random() < 0.5]
                 trainer.held = {slot: trainer.held[slot] for slot in kept}
-                self._say(f"trainer restarts with {len(kept)} samples")
-            elif dice < 0.25 and not self._over:
+                self._log(f"trainer restarts with {len(kept)} samples")
+            elif draw < 0.25 and not self._is_over:
                 self.version += 1
                 trainer.version = self.version
             await self._publish(trainer)
         answer = await trainer.pull(self._host("train").id)
         if answer is not None and not answer.complete:
-            self._find(f"{trainer.step} is not whole with all slots held.")
+            self._record_violation(f"{trainer.step} is not whole with all slots held.")
 
     async def _publish(self, trainer):
         if self.published < self.version:
@@ -273,40 +284,40 @@
             status, _ = await trainer.post(host, "/v1/versions", body, 2000)
             if status == 200:
                 self.published = self.version
-                self._say(f"version {self.version} is published")
+                self._log(f"version {self.version} is published")
 
     async def _fetch(self):
         headers = {"Authorization": f"Bearer {DESK_TOKEN}"}
-        while not self._over:
+        while not self._is_over:
             path = f"/panel/{self.done['fetches']}"
-            url = f"{self._host('fetch').url}/apps/{DESK}{path}"
+            url = f"{self._host('fetch').url}/apps/{APP_POOL}{path}"
             status, body = await http_get(url, headers, FETCH_TIMEOUT_MS)
             if status == 200:
                 found = json.loads(body or b"{}").get("panel")
                 if found != f"{path}?":
-                    self._find(f"{path} was answered by {body!r}.")
+                    self._record_violation(f"{path} was answered by {body!r}.")
             self.done["fetches"] += 1
             await asyncio.sleep(0.05)
 
     async def _save_notes(self):
         client = NotesClient(self.fleet.urls(), DESK_TOKEN)
-        while not self._over:
+        while not self._is_over:
             name = f"note-{self.done['notes']}"
             headers = [(b"x-note-id", name.encode())]
             saved = await client.save(
-                f"/apps/{DESK}/notes", name.encode(), NOTE_TIMEOUT_MS, headers
+                f"/apps/{APP_POOL}/notes", name.encode(), NOTE_TIMEOUT_MS, headers
             )
             self.outcome_by_note[name] = saved.outcome
             self.done["notes"] += 1
             await asyncio.sleep(0.1)
 
-    async def _operate(self):
+    async def _change_shares(self):
         share = 1
-        while not self._over:
+        while not self._is_over:
             share += 1
             command = f"ALTER ACCOUNT desk SHARE {share}"
             code, output = await self.fleet.ask(command, self._host("operate").id)
-            self._say(f"{command}: {code} {output.strip()[:60]}")
+            self._log(f"{command}: {code} {output.strip()[:60]}")
             if code == ACCEPTED:
                 self.shares = [share]
             elif REFUSED not in output:
@@ -318,14 +329,16 @@
     async def _check_notes(self):
         counts = collections.Counter()
         for app in self.fleet.upstreams:
-            if app.pool == DESK:
+            if app.pool == APP_POOL:
                 found = await self.fleet.get_json(app, "/control/counts")
                 counts.update(found["count_by_id"])
         for name, outcome in self.outcome_by_note.items():
             ran = counts[f"POST {name}"]
             wanted = {Outcome.SAVED: (1,), Outcome.NOT_SAVED: (0,)}
             if ran not in wanted.get(outcome, (0, 1)):
-                self._find(f"{name} is {outcome.value} and ran {ran} times.")
+                self._record_violation(
+                    f"{name} is {outcome.value} and ran {ran} times."
+                )
 
     async def _check_shares(self):
         async def agreed():
@@ -343,7 +356,7 @@
 
         found = await _common.eventually(agreed)
         if not found <= set(self.shares):
-            self._find(f"The share is {found}, not one of {self.shares}.")
+            self._record_violation(f"The share is {found}, not one of {self.shares}.")
 
 
 def _first_traceback(process):
--- a/test/proofs/notes_in_outage.py
+++ b/test/proofs/notes_in_outage.py
@@ -32,7 +32,7 @@
         sent = (case.note(host, *pair) for pair in zip(names, keys, strict=True))
         for name, answer in zip(names, await asyncio.gather(*sent), strict=True):
             await case.check_not_run(answer, name)
-        landed[kind] = sum([await case.runs(name) for name in names])
+        landed[kind] = sum([await case.run_count(name) for name in names])
     return landed
 
 
--- a/test/proofs/test_at_most_once.py
+++ b/test/proofs/test_at_most_once.py
@@ -6,7 +6,7 @@
 from test.proofs._requests import NotesCase, make_plan
 from test.standins import app
 
-SAME_KEYS = 6
+REPEATS = 6
 
 
 class AtMostOnceTest(NotesCase):
@@ -28,25 +28,25 @@
                 key = f"{key}-{is_reused}" if kind == "claimed" else key
                 answer = await self.note(self.hosts[0], name, key)
                 self.assertEqual(answer.ran, "unknown", answer)
-                self.assertEqual(await self.runs(name), 1)
+                self.assertEqual(await self.run_count(name), 1)
                 for upstream in self.upstreams:
                     await self.set_app(upstream, "")
                 for host in self.hosts * 2:
                     answer = await self.note(host, name, key)
                     self.assertEqual(answer.ran, "unknown", answer)
-                self.assertEqual(await self.runs(name), 1)
+                self.assertEqual(await self.run_count(name), 1)
 
     async def test_the_same_key_at_once_through_two_hosts(self):
         for upstream in self.upstreams:
             await self.set_app(upstream, app.SLOW, slow_s=0.2)
-        for n in range(SAME_KEYS):
+        for n in range(REPEATS):
             for kind, key in (await self.new_keys()).items():
                 name, key = f"same-{kind}-{n}", key if kind == "minted" else f"{key}{n}"
                 sent = (self.note(host, name, key) for host in self.hosts * 2)
                 answers = await asyncio.gather(*sent)
                 self.assertEqual([a.status for a in answers], [201] * 4, answers)
                 self.assertEqual(len({a.body for a in answers}), 1)
-                self.assertEqual(await self.runs(name), 1)
+                self.assertEqual(await self.run_count(name), 1)
 
     async def test_the_claims_answer_is_lost(self):
         control = self.fleet.platform_control
@@ -56,7 +56,7 @@
             sent = (self.note(host, name, name) for host in self.hosts)
             answers = await asyncio.gather(*sent)
             self.assertEqual([a.status for a in answers], [201, 201], answers)
-            self.assertEqual(await self.runs(name), 1)
+            self.assertEqual(await self.run_count(name), 1)
 
     async def test_the_platform_is_down(self):
         for mode in ("refuse", "hang"):
@@ -69,7 +69,7 @@
                 )
                 sent = [self.note(host, name, key) for host in self.hosts]
                 answers = await asyncio.gather(*sent)
-                await self.check_once(name, answers)
+                await self.check_answers(name, answers)
                 if kind == "minted":
                     self.assertEqual([a.status for a in answers], [201, 201], answers)
                     continue
@@ -77,7 +77,7 @@
                     self.assertEqual(answer.code, "platform_unavailable", answer)
                 await self.fleet.control(control, "outage", on=False)
                 await eventually(lambda n=name, k=key: self.is_saved(n, k))
-                self.assertEqual(await self.runs(name), 1)
+                self.assertEqual(await self.run_count(name), 1)
 
     async def is_saved(self, name, key):
         """Tell whether a note that was refused can be saved after the outage."""
--- a/test/proofs/test_at_most_once_hosts.py
+++ b/test/proofs/test_at_most_once_hosts.py
@@ -31,8 +31,8 @@
         self.assertEqual(answer.ran, "unknown", answer)
         await frozen
         self.fleet.thaw(first)
-        await self.check_once("frozen", [await task, answer])
-        self.assertEqual(await self.runs("frozen"), 0)
+        await self.check_answers("frozen", [await task, answer])
+        self.assertEqual(await self.run_count("frozen"), 0)
         # What it says of the request it has not sent allows a retry.
         self.assertEqual((await task).ran, "not run")
 
@@ -53,7 +53,7 @@
         self.assertEqual(answer.ran, "unknown", answer)
         self.fleet.thaw(first)
         answers = [await self.note(host, "minted", key) for host in self.hosts]
-        await self.check_once("minted", answers)
+        await self.check_answers("minted", answers)
 
     async def test_the_sender_dies(self):
         first, other = self.hosts
@@ -73,10 +73,10 @@
         for kind, key in keys.items():
             answer = await self.note(first, f"dies-{kind}", key)
             self.assertEqual(answer.code, "outcome_unknown", answer)
-            self.assertEqual(await self.runs(f"dies-{kind}"), 1)
+            self.assertEqual(await self.run_count(f"dies-{kind}"), 1)
 
     async def are_run(self, *names):
-        return all([await self.runs(name) == 1 for name in names])
+        return all([await self.run_count(name) == 1 for name in names])
 
 
 class CutZonesTest(NotesCase):
@@ -93,11 +93,11 @@
         table = await count_notes(self, far, 5)
         self.assertEqual(table, {"minted": 5, "claimed": 0})
         answer = await self.note(far, "elsewhere", elsewhere)
-        await self.check_once("elsewhere", [answer])
+        await self.check_answers("elsewhere", [answer])
         self.assertEqual((await self.note(near, "elsewhere", elsewhere)).status, 201)
         self.network.mend()
         await eventually(lambda: self.is_known(far, elsewhere))
-        self.assertEqual(await self.runs("elsewhere"), 1)
+        self.assertEqual(await self.run_count("elsewhere"), 1)
 
     async def is_known(self, host, key):
         return (await self.note(host, "elsewhere", key)).status == 201
--- a/test/proofs/test_bad_input.py
+++ b/test/proofs/test_bad_input.py
@@ -14,7 +14,7 @@
 from test.fleet import AccountPlan, Fleet, Plan, PoolPlan, http_get
 
 SEED = 20
-MANY = 40
+BAD_INPUTS = 40
 TOKEN = "desk-token"
 PLAN = Plan(
     hosts_by_zone={"zone-a": 1},
@@ -99,7 +99,7 @@
     async def test_garbage_is_counted_and_harms_nothing(self):
         rng = random.Random(SEED)
         before = await self.bad_input_count()
-        for number in range(MANY):
+        for number in range(BAD_INPUTS):
             garbage = rng.randbytes(rng.randrange(1, 300))
             start = b"POST /v1/steps HTTP/1.1\r\n" if number % 2 else b""
             # A byte that no head may have ends each of them.
@@ -119,7 +119,7 @@
         socket.connect(f"tcp://{self.host.address}:{self.host.peer_port}")
         try:
             before = await self.bad_input_count()
-            for _ in range(MANY):
+            for _ in range(BAD_INPUTS):
                 frames = [rng.randbytes(rng.randrange(40)) for _ in range(6)]
                 await socket.send_multipart(frames[: rng.randrange(1, 7)])
 
--- a/test/proofs/test_configuration_answers.py
+++ b/test/proofs/test_configuration_answers.py
@@ -34,7 +34,7 @@
         await _common.eventually(agreed)
         return await self.head_version()
 
-    async def until_head(self, version):
+    async def wait_head_version(self, version):
         """Wait until the platform has a version, whoever may hear of it."""
 
         async def has_it():
@@ -48,7 +48,7 @@
         self.platform_link.delay(DELAY_MS // 2)
         answers = await asyncio.gather(
             *(
-                self.ask_directly(host_id, f"ALTER ACCOUNT desk SHARE {share}", base)
+                self.post_command(host_id, f"ALTER ACCOUNT desk SHARE {share}", base)
                 for share, host_id in enumerate(self.ids, 2)
             )
         )
@@ -70,7 +70,7 @@
         base = await self.head_version()
         self.platform_link.delay(DELAY_MS, DOWN)
         asked = self.begin(self.change("ALTER ACCOUNT desk SHARE 2"))
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
         self.platform_link.cut()
         self.platform_link.delay(0)
         answer = await asked
@@ -83,7 +83,7 @@
         base = await self.head_version()
         self.platform_link.delay(DELAY_MS, DOWN)
         asked = self.begin(self.change("ALTER ACCOUNT desk SHARE 2"))
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
         await self.platform_link.refuse()
         answer = await asked
         self.assertEqual(answer.code, UNKNOWN, answer.text)
@@ -125,7 +125,7 @@
 
     async def at_the_read(self, base):
         await self.outage("hang")
-        await _common.eventually(lambda: _is_asked(self.fleet.hosts[0]))
+        await _common.eventually(lambda: _has_caller(self.fleet.hosts[0]))
 
     async def at_the_document(self, base):
         before = (await self.platform_stats()).get("writes", 0)
@@ -138,10 +138,10 @@
 
     async def at_the_write(self, base):
         self.platform_link.delay(DELAY_MS, DOWN)
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
 
 
-def _is_asked(host):
+def _has_caller(host):
     """Tell whether a caller is connected to a host, as the kernel's table says."""
     address = int.from_bytes(socket.inet_aton(host.address), "little")
     place = f"{address:08X}:{host.port:04X}"
--- a/test/proofs/test_configuration_cut_off_terms.py
+++ b/test/proofs/test_configuration_cut_off_terms.py
@@ -9,7 +9,7 @@
     account,
 )
 
-LAPSED = 503
+LEASE_EXPIRED = 503
 DROP = "DROP ACCOUNT desk"
 
 
@@ -18,7 +18,7 @@
         """Start with an account that is served by hosts that are cut off."""
         await super().start(account("desk", rest=""), *args, **kwargs)
 
-    async def refused_naming(self, host_id, driver):
+    async def wait_refused_naming(self, host_id, driver):
         """Give the change until it is refused for one silent host."""
 
         async def refused():
@@ -28,7 +28,7 @@
 
         await _common.eventually(refused)
 
-    async def accept(self, driver):
+    async def wait_accepted(self, driver):
         """Give the change until every host has acknowledged it."""
 
         async def accepted():
@@ -41,10 +41,10 @@
         await self.start(hosts=2)
         silent = self.ids[-1]
         self.fleet.freeze(silent)
-        await self.refused_naming(silent, self.ids[0])
+        await self.wait_refused_naming(silent, self.ids[0])
         await self.assert_served("desk", self.ids[:-1])
         self.fleet.thaw(silent)
-        await self.accept(self.ids[0])
+        await self.wait_accepted(self.ids[0])
         self.network.cut("zone-b")
         for _ in range(3):
             await self.assert_never_served("desk")
@@ -54,14 +54,14 @@
         doubtful, silent = self.ids[2], self.ids[1]
         # The doubtful host acknowledges, the silent one keeps it from being made.
         self.fleet.freeze(silent)
-        await self.refused_naming(silent, self.ids[0])
+        await self.wait_refused_naming(silent, self.ids[0])
         await self.assert_served("desk", [doubtful])
         self.network.cut("zone-b")
 
-        async def lapsed():
-            return await self.fetch(doubtful, "desk") == LAPSED
+        async def is_lease_expired():
+            return await self.fetch(doubtful, "desk") == LEASE_EXPIRED
 
-        await _common.eventually(lapsed)
+        await _common.eventually(is_lease_expired)
         await self.assert_never_served("desk", [doubtful])
         self.network.mend()
         self.fleet.thaw(silent)
@@ -81,9 +81,9 @@
         await self.dead(self.ids[0], new)
         await self.dead(peer, new)
         await self.outage("")
-        await self.refused_naming(new, self.ids[0])
+        await self.wait_refused_naming(new, self.ids[0])
         self.fleet.thaw(new)
-        await self.accept(self.ids[0])
+        await self.wait_accepted(self.ids[0])
         await self.assert_never_served("desk", [*self.ids, new])
 
     async def add_host(self, new, peer):
--- a/test/proofs/test_configuration_in_force.py
+++ b/test/proofs/test_configuration_in_force.py
@@ -6,9 +6,9 @@
 
 from test.proofs._fleet import (
     ACCEPTED,
-    APPS,
-    DESK,
-    IN_FORCE_S,
+    APP_POOL,
+    DESK_ACCOUNT,
+    MAX_EFFECT_DELAY_S,
     MODEL,
     OK,
     FleetCase,
@@ -25,12 +25,12 @@
     """Hosts that are frozen, cut off or slow across a change."""
 
     async def test_in_force_on_all_hosts_within_the_stated_time(self):
-        await self.start(hosts=2, settings={}, accounts=(DESK,))
+        await self.start(hosts=2, settings={}, accounts=(DESK_ACCOUNT,))
         await self.assert_served("desk")
         started = time.monotonic()
         answer = await self.change("DROP ACCOUNT desk")
         self.assertEqual(answer.code, ACCEPTED, answer.text)
-        self.assertLess(seconds_since(started), IN_FORCE_S)
+        self.assertLess(seconds_since(started), MAX_EFFECT_DELAY_S)
         await self.assert_never_served("desk")
         self.assertEqual(await self.fetch(self.ids[-1], "desk"), UNAUTHORIZED)
 
@@ -52,7 +52,7 @@
         self.assertNotIn(OK, await asyncio.gather(*waiting))
         await self.assert_never_served("dropped")
         await self.assert_never_served("renamed")
-        self.assertEqual(await self.runs_of("GET /panels/frozen"), 0)
+        self.assertEqual(await self.run_count("GET /panels/frozen"), 0)
         await self.assert_served("new")
         await self.assert_served("kept")
 
@@ -84,7 +84,7 @@
     async def test_a_body_that_ends_after_the_change(self):
         await self.start(
             account("desk") + account("coach", "trainer", "lm-pool"),
-            pools=(APPS, engines()),
+            pools=(APP_POOL, engines()),
         )
         host = self.fleet.hosts[-1]
         prompt = {"model": "lm-pool", "prompt": "x", "max_tokens": 4}
@@ -106,4 +106,4 @@
         self.assertEqual(answer.code, ACCEPTED, answer.text)
         statuses = [await caller.finish() for caller in callers]
         self.assertEqual(statuses, [UNAUTHORIZED] * len(callers))
-        self.assertEqual(await self.runs_of("POST /late"), 0)
+        self.assertEqual(await self.run_count("POST /late"), 0)
--- a/test/proofs/test_configuration_work.py
+++ b/test/proofs/test_configuration_work.py
@@ -53,13 +53,13 @@
         await _common.eventually(runs)
         queued = [self.complete(host_id, "queued", 2) for host_id in self.ids]
 
-        async def all_wait():
+        async def all_queued():
             rows = [
                 row for h in self.ids for row in await self.show(h, "SHOW UPSTREAMS")
             ]
             return sum(row["queued_here"] for row in rows) == len(queued)
 
-        await _common.eventually(all_wait)
+        await _common.eventually(all_queued)
         answer = await self.change("DROP ACCOUNT queued; DROP ACCOUNT long")
         self.assertEqual(answer.code, ACCEPTED, answer.text)
         await self.fleet.control(engine, "set", token_ms=0.01)
--- a/test/proofs/test_exactly_once.py
+++ b/test/proofs/test_exactly_once.py
@@ -3,27 +3,27 @@
 import asyncio
 
 from test._common import eventually
-from test.proofs._steps import STEPS_TABLE, StepProof, recorded, recorded_samples
+from test.proofs._steps import STEPS_TABLE, StepProof, recorded_rows, recorded_samples
 
 
 class ExactlyOnceTest(StepProof):
     async def test_hedged_copies_that_both_finish(self):
         trainer = await self.start(token_ms=5.0)
         near, far = self.engines
-        await self.set(far, token_ms=30.0)
+        await self.set_engine(far, token_ms=30.0)
         # Both streams start on one engine.
         await self.command(f"DRAIN UPSTREAM {far.id}")
         await trainer.submit("zone-a-1", samples=1, max_tokens=(20, 800))
         holder, others = self.holder_of("s1")
-        await self.until(near, "finished", 1)
+        await self.wait_count(near, "finished", 1)
         await self.command(f"RESUME UPSTREAM {far.id}")
         # The longer stream is left behind, and the other engine goes on from it.
-        await self.set(near, token_ms=60.0)
-        await self.until(far, "started", 1)
+        await self.set_engine(near, token_ms=60.0)
+        await self.wait_count(far, "started", 1)
         # Both copies end while their reader stands still.
         self.fleet.freeze(holder)
-        await self.until(near, "finished", 2)
-        await self.until(far, "finished", 1)
+        await self.wait_count(near, "finished", 2)
+        await self.wait_count(far, "finished", 1)
         cancelled = [(await self.counts(e))["cancelled"] for e in self.engines]
         self.assertEqual(cancelled, [0, 0])
         self.fleet.thaw(holder)
@@ -35,7 +35,7 @@
         await trainer.submit("zone-a-1", groups=2, samples=4)
         holder, others = self.holder_of("s1")
         self.network.links_by_id[holder].delay(600, "down")
-        first = asyncio.create_task(trainer.pull(others[0], take=False))
+        first = asyncio.create_task(trainer.pull(others[0], keep=False))
         self.assertIsNone(await trainer.pull(others[1], timeout_ms=300))
         second = await trainer.pull(holder)
         late = await first
@@ -47,7 +47,7 @@
         await trainer.collect(*others)
         await self.assert_same_for_a_restarted_trainer(trainer, *others, holder)
 
-    async def start_apart(self):
+    async def start_isolated_holder(self):
         """Start a step whose holder records, but reaches no other host."""
         trainer = await self.start(hosts=(3, 1), token_ms=10.0)
         await trainer.submit("zone-a-1", groups=2, samples=3, max_tokens=60)
@@ -58,29 +58,29 @@
             self.network.links_by_id[host].block({address})
         return trainer, holder, others
 
-    async def recorded_whole(self):
+    async def wait_all_recorded(self):
         async def both():
-            return len(await recorded(self.fleet)) == 2
+            return len(await recorded_rows(self.fleet)) == 2
 
         await eventually(both)
         return await recorded_samples(self.fleet)
 
     async def test_a_holder_killed_between_recording_and_answering(self):
-        trainer, holder, others = await self.start_apart()
-        made = await self.recorded_whole()
-        pull = asyncio.create_task(trainer.pull(others[0], take=False))
+        trainer, holder, others = await self.start_isolated_holder()
+        made = await self.wait_all_recorded()
+        pull = asyncio.create_task(trainer.pull(others[0], keep=False))
         await asyncio.sleep(0.1)
         self.fleet.kill(holder)
         await pull
         self.assertEqual(await trainer.collect(*others), made)
-        self.assertEqual(len(await recorded(self.fleet)), 2)
+        self.assertEqual(len(await recorded_rows(self.fleet)), 2)
         await self.assert_same_for_a_restarted_trainer(trainer, *others)
 
     async def test_a_holder_apart_records_beside_a_new_one(self):
-        trainer, _, others = await self.start_apart()
+        trainer, _, others = await self.start_isolated_holder()
         # The pull makes another host the holder while the first one goes on.
         await trainer.pull(others[0])
-        made = await self.recorded_whole()
+        made = await self.wait_all_recorded()
         self.assertEqual(await trainer.collect(*others), made)
 
     async def test_the_records_answers_are_lost(self):
@@ -91,7 +91,7 @@
         await trainer.collect("zone-a-2", "zone-b-1")
 
         async def all_recorded():
-            return len(await recorded(self.fleet)) == 3
+            return len(await recorded_rows(self.fleet)) == 3
 
         await eventually(all_recorded)
         holder, others = self.holder_of("s1")
@@ -104,7 +104,9 @@
         await trainer.collect("zone-a-1")
 
         async def left(wanted):
-            tables = [await recorded(self.fleet, t) for t in (STEPS_TABLE, "groups")]
+            tables = [
+                await recorded_rows(self.fleet, t) for t in (STEPS_TABLE, "groups")
+            ]
             return [len(rows) for rows in tables] == wanted
 
         await eventually(lambda: left([1, 2]))
--- a/test/proofs/test_exactly_once_holders.py
+++ b/test/proofs/test_exactly_once_holders.py
@@ -3,7 +3,7 @@
 import collections
 
 from test._common import eventually
-from test.proofs._steps import STEPS_TABLE, StepProof, makers_of, recorded
+from test.proofs._steps import STEPS_TABLE, StepProof, engine_ports_of, recorded_rows
 
 
 class HoldersTest(StepProof):
@@ -22,7 +22,7 @@
                 await self.platform("outage", on=False)
 
                 async def written():
-                    return await recorded(self.fleet, STEPS_TABLE)
+                    return await recorded_rows(self.fleet, STEPS_TABLE)
 
                 await eventually(written)
                 await self.assert_same_for_a_restarted_trainer(trainer, *others)
@@ -32,7 +32,7 @@
         trainer = await self.start(hosts=(3, 1), token_ms=10.0)
         await trainer.submit("zone-a-1", max_tokens=60)
         holder, others = self.holder_of("s1")
-        await self.until(self.engines[0], "tokens", 60)
+        await self.wait_count(self.engines[0], "tokens", 60)
         self.fleet.freeze(holder)
         await trainer.collect(*others)
         self.fleet.thaw(holder)
@@ -41,13 +41,13 @@
     async def test_a_zone_is_cut_off_in_the_middle_of_a_step(self):
         trainer = await self.start(hosts=(2, 2), token_ms=10.0)
         await trainer.submit("zone-a-1", max_tokens=60)
-        await self.until(self.engines[0], "tokens", 60)
+        await self.wait_count(self.engines[0], "tokens", 60)
         self.network.cut("zone-a")
         # What the other zone's engine has made by now may have come through.
         near, far = self.engines
         most = (await self.counts(far))["tokens"]
         got = await trainer.collect("zone-a-1", "zone-a-2")
-        made = collections.Counter(p for s in got.values() for p in makers_of(s))
+        made = collections.Counter(p for s in got.values() for p in engine_ports_of(s))
         self.assertLessEqual(made.keys(), {near.port, far.port})
         self.assertGreater(made[near.port], 0)
         self.assertLessEqual(made[far.port], most)
--- a/test/proofs/test_graceful_shutdown.py
+++ b/test/proofs/test_graceful_shutdown.py
@@ -71,7 +71,7 @@
         self.assertEqual((await self.fetch(other, "next")).status, 200)
 
     async def is_run(self, name):
-        return await self.runs(name) == 1
+        return await self.run_count(name) == 1
 
     async def is_unready(self, host):
         return not await self.ready(host)
@@ -109,7 +109,7 @@
         await eventually(lambda: self.is_unready(host))
         await self.end(host)
         self.assertEqual((await slow).status, 201, (await slow).body)
-        self.assertEqual(await self.runs("through"), 1)
+        self.assertEqual(await self.run_count("through"), 1)
         answer = await self.note(other, "unused", unused)
         await self.check_not_run(answer, "unused")
 
@@ -131,7 +131,7 @@
         await self.end(host)
         answer = await self.note(other, "gone", "a-key")
         self.assertEqual(answer.status, 201, answer)
-        self.assertEqual(await self.runs("gone"), 1)
+        self.assertEqual(await self.run_count("gone"), 1)
 
 
 class BoundTest(ShutdownCase):
--- a/test/proofs/test_histories.py
+++ b/test/proofs/test_histories.py
@@ -12,5 +12,5 @@
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 history = History(seed)
-                faults = await history.run()
-                self.assertEqual(faults, [], "\n".join(history.lines))
+                violations = await history.run()
+                self.assertEqual(violations, [], "\n".join(history.lines))
--- a/test/proofs/test_leaving_upstream.py
+++ b/test/proofs/test_leaving_upstream.py
@@ -46,14 +46,14 @@
             self.answers.append(await ask())
             await asyncio.sleep(PAUSE_S)
 
-    async def taken(self):
+    async def work_by_upstream(self):
         """Return how much work each upstream has been given, and tokens it made."""
         count_by_upstream = {}
         for name in self.upstreams:
             counts = await self.counts(name)
             count = counts.get("started", counts.get("received"))
-            taken = count + counts.get("refused", 0)
-            count_by_upstream[name] = taken, counts.get("tokens", taken)
+            work = count + counts.get("refused", 0)
+            count_by_upstream[name] = work, counts.get("tokens", work)
         return count_by_upstream
 
     async def leave(self):
@@ -78,19 +78,19 @@
     async def is_written_after(self, version):
         return await self.written_version() > version
 
-    async def check_no_new_work(self, since_s, is_thawed=False):
+    async def check_no_new_work(self, since_s, is_after_resume=False):
         """From five seconds after a moment on, no work goes to those that leave."""
         await asyncio.sleep(max(0, since_s + BOUND_S - time.monotonic()))
-        before = await self.taken()
+        before = await self.work_by_upstream()
         await asyncio.sleep(WATCH_S)
-        after = await self.taken()
+        after = await self.work_by_upstream()
         for pool in POOLS:
-            if pool == "desk" or not is_thawed:
+            if pool == "desk" or not is_after_resume:
                 # There is work, which the one that stays goes on with. An owner that
                 # stood still may count grants for a while that have ended.
                 self.assertGreater(after[f"{pool}-4"][1], before[f"{pool}-4"][1])
-            for way in (BY_LIST, BY_OPERATOR, BY_ANSWER):
-                name = way.format(pool)
+            for pattern in (BY_LIST, BY_OPERATOR, BY_ANSWER):
+                name = pattern.format(pool)
                 self.assertEqual(after[name][0], before[name][0], name)
 
     async def test_queues_streams_and_a_zone_that_cannot_hear(self):
@@ -121,7 +121,7 @@
         # The zone can learn of it from the host that goes on.
         await self.check_no_new_work(since_s)
         self.fleet.thaw(frozen)
-        await self.check_no_new_work(time.monotonic(), is_thawed=True)
+        await self.check_no_new_work(time.monotonic(), is_after_resume=True)
         self.is_over = True
         code, text = await order
         self.assertEqual(code, 0, text)
--- a/test/proofs/test_membership_faults.py
+++ b/test/proofs/test_membership_faults.py
@@ -9,7 +9,7 @@
 from test.fleet import http_get
 from test.proofs._fleet import FleetCase
 
-TARGET_BYTES_PER_S = 7000
+MAX_BYTES_PER_S = 7000
 # Two rounds of probes and more in the largest fleet here: 7 hosts of the own zone
 # take three of four probes at two a second. Within less than a round some host is
 # probed by chance more often than others, and the more hosts, the further the
@@ -20,7 +20,7 @@
 LIST_READ_TWICE_S = 5
 FREEZES = 3
 FROZEN_S = 2.5
-AWAKE_S = 1
+RUNNING_S = 1
 PROBES = re.compile(r'control_bytes_total{.*message="(Probe|Sync)\w*"} (\S+)')
 
 
@@ -30,23 +30,23 @@
         url = self.fleet.endpoint_by_id[host_id].url
         return (await http_get(f"{url}/metrics"))[1].decode()
 
-    async def alive_by(self, host_id):
+    async def alive_hosts_seen_by(self, host_id):
         """Return the hosts that a host calls alive."""
         rows = await self.show(host_id, "SHOW HOSTS")
         return {row["id"] for row in rows if row["state"] == "alive"}
 
-    async def live_by(self, host_id):
+    async def live_count_seen_by(self, host_id):
         """Return how many hosts a host gives work to."""
         text = await self.metrics(host_id)
         counts = re.findall(r"^goldcrestmoor_live_hosts{.*} (\S+)$", text, re.M)
         return sum(float(count) for count in counts)
 
-    async def agreed(self, alive, host_ids=None):
+    async def wait_agreed(self, alive, host_ids=None):
         """Wait until hosts agree on who is alive."""
         for host_id in host_ids or alive:
 
             async def agrees(host_id=host_id):
-                return await self.alive_by(host_id) == set(alive)
+                return await self.alive_hosts_seen_by(host_id) == set(alive)
 
             await _common.eventually(agrees)
 
@@ -56,11 +56,11 @@
         rates = {}
         for hosts in (2, 4, 8):
             await self.start(hosts=hosts, settings={})
-            await self.agreed(self.ids)
+            await self.wait_agreed(self.ids)
             rates[2 * hosts] = await self.rate()
             await self.fleet.close()
         self.assertGreater(min(rates.values()), 0)
-        self.assertLess(max(rates.values()), TARGET_BYTES_PER_S, rates)
+        self.assertLess(max(rates.values()), MAX_BYTES_PER_S, rates)
         self.assertLess(rates[16], MAX_GROWTH * rates[4], rates)
 
     async def rate(self):
@@ -83,35 +83,35 @@
     async def test_a_host_that_freezes_again_and_again_is_held_back(self):
         await self.start(hosts=2)
         observer, frozen = self.ids[0], self.ids[-1]
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
         returns, was_live = 0, True
         for _ in range(FREEZES):
-            for freeze, seconds in ((True, FROZEN_S), (False, AWAKE_S)):
+            for freeze, seconds in ((True, FROZEN_S), (False, RUNNING_S)):
                 (self.fleet.freeze if freeze else self.fleet.thaw)(frozen)
                 end = time.monotonic() + seconds
                 while time.monotonic() < end:
-                    is_live = await self.live_by(observer) == len(self.ids)
+                    is_live = await self.live_count_seen_by(observer) == len(self.ids)
                     returns += is_live and not was_live
                     was_live = is_live
                     await asyncio.sleep(0.05)
         # It gets its work back once, and then is held back for longer each time.
         self.assertLessEqual(returns, 1)
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
 
         async def all_live():
-            return await self.live_by(observer) == len(self.ids)
+            return await self.live_count_seen_by(observer) == len(self.ids)
 
         await _common.eventually(all_live)
 
     async def test_a_host_that_wakes_calls_nobody_dead(self):
         await self.start(hosts=2)
         frozen = self.ids[-1]
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
         self.fleet.freeze(frozen)
         for host_id in self.ids[:-1]:
             await self.dead(host_id, frozen)
         self.fleet.thaw(frozen)
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
         log = self.fleet.process_by_id[frozen].log()
         self.assertIn("stood still", log)
         self.assertNotIn("is dead", log)
@@ -127,7 +127,7 @@
         ghost["address"] = "127.0.1.7"
         await self.list_hosts([entry, ghost])
         await asyncio.sleep(LIST_READ_TWICE_S)
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
         for host_id in self.ids:
             log = self.fleet.process_by_id[host_id].log()
             self.assertFalse("is dead" in log, host_id)
@@ -135,11 +135,11 @@
         dead = next(e for e in self.fleet.listed_hosts() if e["id"] == killed)
         await self.list_hosts([entry, ghost, dead])
         self.fleet.kill(killed)
-        await self.agreed(self.ids[:-1])
+        await self.wait_agreed(self.ids[:-1])
         # One that it does not name comes back and is found by all.
         await self.list_hosts([entry, ghost])
         await self.fleet.start_host(killed)
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
 
     async def list_hosts(self, entries):
         """Have the platform list these."""
@@ -149,12 +149,12 @@
     async def test_zones_part_and_meet_again(self):
         await self.start(hosts=2)
         near, far = self.ids[:2], self.ids[2:]
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
         self.network.cut("zone-b")
         for one, other in itertools.product(near, far):
             await self.dead(one, other)
             await self.dead(other, one)
-        await self.agreed(near)
-        await self.agreed(far)
+        await self.wait_agreed(near)
+        await self.wait_agreed(far)
         self.network.mend()
-        await self.agreed(self.ids)
+        await self.wait_agreed(self.ids)
--- a/test/proofs/test_not_run.py
+++ b/test/proofs/test_not_run.py
@@ -7,7 +7,7 @@
 from test.proofs._requests import RequestCase, in_background, make_plan
 from test.standins import app
 
-FAR_BYTES = 100_000
+BEYOND_REQUEST_BYTES = 100_000
 
 
 class NotRunTest(RequestCase):
@@ -43,7 +43,7 @@
         before = self.link.bytes_by_direction[UP]
         await self.note(self.host, "whole")
         size = self.link.bytes_by_direction[UP] - before
-        for n in (*range(size), size, FAR_BYTES):
+        for n in (*range(size), size, BEYOND_REQUEST_BYTES):
             for is_reused in (False, True):
                 await self.link.heal()
                 if is_reused:
@@ -60,12 +60,12 @@
         await self.expect("before", "upstream_failed", "unknown")
         await self.set_app("desk-1", app.CLOSE_AFTER_RUN)
         await self.expect("after", "upstream_failed", "unknown")
-        self.assertEqual(await self.runs("after"), 1)
+        self.assertEqual(await self.run_count("after"), 1)
         await self.set_app("desk-1", "")
         await self.cut_link("desk-1")
         self.link.cut_after(10, DOWN)
         await self.expect("during", "upstream_failed", "unknown")
-        self.assertEqual(await self.runs("during"), 1)
+        self.assertEqual(await self.run_count("during"), 1)
         await self.cut_link("desk-1")
         await self.link.heal()
         # The upstream closes its idle connections: nothing may be lost by it.
--- a/test/proofs/test_orders.py
+++ b/test/proofs/test_orders.py
@@ -8,9 +8,9 @@
 
 # The longest order and the lease with its margin: how long a holder that ignores
 # fencing must be waited out.
-LONGEST_ORDER_MS = 10_000
+MAX_ORDER_MS = 10_000
 READ_BACK_S = 3.5
-WOKEN_S = 4
+AFTER_RESUME_S = 4
 POOLS = (
     PoolPlan("fencing", "engine", {"zone-a": 1}, MODEL),
     PoolPlan("ignoring", "engine", {"zone-b": 1}, MODEL, options={"fencing": False}),
@@ -40,13 +40,13 @@
         """Return an engine's own counts."""
         return await self.fleet.get_json(engine, "/control/counts")
 
-    async def runs(self, engine, version):
+    async def wait_engine_version(self, engine, version):
         """Wait until an engine runs a version."""
 
-        async def is_on():
+        async def is_loaded():
             return (await self.counts(engine))["version"] == version
 
-        await _common.eventually(is_on)
+        await _common.eventually(is_loaded)
 
     async def holder(self):
         """Return the host that holds the model's lease, by the platform's row."""
@@ -58,19 +58,19 @@
         await self.start_engines()
         await self.load(2, self.ids[0])
         for engine in (self.checks, self.ignores):
-            await self.runs(engine, 2)
+            await self.wait_engine_version(engine, 2)
         old = await self.holder()
         new = next(i for i in self.ids if i != old)
         # By then it has read back what they run, and would not look again at once.
         await asyncio.sleep(READ_BACK_S)
         self.fleet.freeze(old)
         await self.load(4, new)
-        await self.runs(self.checks, 4)
+        await self.wait_engine_version(self.checks, 4)
         await self.load(5, new)
         for engine in (self.checks, self.ignores):
-            await self.runs(engine, 5)
+            await self.wait_engine_version(engine, 5)
         self.fleet.thaw(old)
-        await asyncio.sleep(WOKEN_S)
+        await asyncio.sleep(AFTER_RESUME_S)
         for engine in (self.checks, self.ignores):
             counts = await self.counts(engine)
             numbers = [order["fencing"] for order in counts["orders"]]
@@ -82,18 +82,18 @@
     async def test_a_late_order_is_waited_out(self):
         await self.start_engines()
         await self.load(2, self.ids[0])
-        await self.runs(self.ignores, 2)
+        await self.wait_engine_version(self.ignores, 2)
         old = await self.holder()
         new = next(i for i in self.ids if i != old)
         # Its last order reaches the engine late, when the next holder is at work.
         link = self.network.links_by_id[self.ignores.id]
-        link.delay(LONGEST_ORDER_MS - 500, "up")
+        link.delay(MAX_ORDER_MS - 500, "up")
         await self.load(3, old)
-        await self.runs(self.checks, 3)
+        await self.wait_engine_version(self.checks, 3)
         self.fleet.kill(old)
         link.delay(0)
         await self.load(4, new)
-        await self.runs(self.ignores, 4)
+        await self.wait_engine_version(self.ignores, 4)
         orders = (await self.counts(self.ignores))["orders"]
         self.assertEqual([o["version"] for o in orders][-2:], [3, 4])
 
@@ -101,17 +101,17 @@
         await self.start_engines()
         await self.fleet.control(self.checks, "set", fail_swap=True)
         await self.load(2, self.ids[0])
-        await self.runs(self.ignores, 2)
+        await self.wait_engine_version(self.ignores, 2)
 
-        async def tried_twice():
+        async def ordered_twice():
             return len((await self.counts(self.checks))["orders"]) >= 2
 
-        await _common.eventually(tried_twice)
+        await _common.eventually(ordered_twice)
         rows = await self.show(self.ids[0], "SHOW UPSTREAMS")
         version_by_name = {row["name"]: row["version"] for row in rows}
         self.assertNotEqual(version_by_name[self.checks.id], 2)
         await self.fleet.control(self.checks, "set", fail_swap=False)
-        await self.runs(self.checks, 2)
+        await self.wait_engine_version(self.checks, 2)
         # Each order names the version to run, so that a repeat is harmless.
         orders = (await self.counts(self.checks))["orders"]
         self.assertEqual({o["version"] for o in orders}, {2})
--- a/test/proofs/test_recovery.py
+++ b/test/proofs/test_recovery.py
@@ -5,7 +5,7 @@
 
 from test import _common
 from test.fleet import http_get
-from test.proofs._fleet import APPS, DESK, OK, FleetCase, account, engines
+from test.proofs._fleet import APP_POOL, DESK_ACCOUNT, OK, FleetCase, account, engines
 
 # The platform's two thousand reads a second, shared by 350 hosts.
 READS_PER_HOST = 2000 / 350
@@ -14,7 +14,7 @@
 FETCHES = 100
 RETRY_SHARE = 0.1
 # One retry a second is let through even without budget.
-FLOOR_PER_S = 1
+MIN_RETRIES_PER_S = 1
 
 
 class RecoveryTest(FleetCase):
@@ -28,12 +28,12 @@
         stats = await self.platform_stats()
         return stats.get("reads", 0) + stats.get("host_reads", 0)
 
-    async def peak_reads(self, until):
+    async def peak_reads(self, task):
         """Return the most reads in a second until something is done."""
         peak, samples = 0, [(time.monotonic(), await self.reads())]
         end = None
         while end is None or time.monotonic() < end:
-            if end is None and until.done():
+            if end is None and task.done():
                 end = time.monotonic() + 1
             await asyncio.sleep(0.1)
             now, count = time.monotonic(), await self.reads()
@@ -44,7 +44,7 @@
         return peak
 
     async def test_all_hosts_restart_while_the_store_is_down(self):
-        await self.start(hosts=4, settings={}, accounts=(DESK,))
+        await self.start(hosts=4, settings={}, accounts=(DESK_ACCOUNT,))
         await self.outage()
         for host_id in self.ids:
             self.fleet.kill(host_id)
@@ -53,11 +53,11 @@
             self.assertEqual(await self.ready(host_id), NOT_READY)
             self.assertEqual(await self.fetch(host_id, "desk"), NOT_READY)
         await asyncio.sleep(2)
-        tries = self.platform_link.accepted
+        attempts = self.platform_link.accepted
         await asyncio.sleep(OUTAGE_S)
-        tries = self.platform_link.accepted - tries
+        attempts = self.platform_link.accepted - attempts
         # While it is down, hosts ask it less often than they would otherwise.
-        self.assertLess(tries / OUTAGE_S, READS_PER_HOST * len(self.ids))
+        self.assertLess(attempts / OUTAGE_S, READS_PER_HOST * len(self.ids))
         await self.outage("")
         back = self.begin(self.all_ready())
         peak = await self.peak_reads(back)
@@ -78,10 +78,10 @@
         await self.fleet.wait_ready(restarted)
         await self.assert_served("desk", [restarted])
 
-        async def lapsed():
+        async def is_lease_expired():
             return await self.fetch(restarted, "strict") == NOT_READY
 
-        await _common.eventually(lapsed)
+        await _common.eventually(is_lease_expired)
         await self.assert_never_served("strict", [restarted])
         await self.outage("")
         await self.assert_served("strict")
@@ -91,7 +91,7 @@
             account("desk", rest="")
             + account("coach", "trainer", "lm-pool", "ZONE zone-a"),
             hosts=2,
-            pools=(APPS, engines()),
+            pools=(APP_POOL, engines()),
         )
         await self.outage()
         end = time.monotonic() + OUTAGE_S
@@ -131,6 +131,6 @@
         for upstream in self.fleet.upstreams:
             counts = await self.fleet.get_json(upstream, "/control/counts")
             received += counts["received"]
-        floor = FLOOR_PER_S * len(self.ids) * (seconds + 1)
+        floor = MIN_RETRIES_PER_S * len(self.ids) * (seconds + 1)
         self.assertGreater(received, 0)
         self.assertLessEqual(received, FETCHES * (1 + RETRY_SHARE) + floor)
--- a/test/proofs/test_retry_storm.py
+++ b/test/proofs/test_retry_storm.py
@@ -9,8 +9,8 @@
 from test.standins import app
 
 REQUESTS = 400
-AT_ONCE = 16
-TENTH = 10
+CONCURRENCY = 16
+RETRY_DIVISOR = 10
 
 
 class RetryStormTest(RequestCase):
@@ -19,7 +19,7 @@
     async def storm(self, ask):
         """Send requests through all hosts, and return what hosts may add to them."""
         started_s = time.monotonic()
-        gate = asyncio.Semaphore(AT_ONCE)
+        gate = asyncio.Semaphore(CONCURRENCY)
 
         async def one(n):
             async with gate:
@@ -29,7 +29,7 @@
         elapsed_ms = (time.monotonic() - started_s) * MS_PER_SECOND
         # Each host may also make one retry in each interval, however little it sends.
         floor = len(self.hosts) * (1 + elapsed_ms // FLOOR_INTERVAL_MS)
-        return answers, REQUESTS // TENTH + floor
+        return answers, REQUESTS // RETRY_DIVISOR + floor
 
     async def test_fetches(self):
         for upstream in self.upstreams[:3]:
--- a/test/proofs/test_silent_connections.py
+++ b/test/proofs/test_silent_connections.py
@@ -8,19 +8,19 @@
 from test.proofs._requests import REQUEST_TIMEOUT_MS, RequestCase, make_plan
 from test.standins import app, engine
 
-AT_ONCE_MS = REQUEST_TIMEOUT_MS // 2
+PROMPT_MS = REQUEST_TIMEOUT_MS // 2
 TOKENS = 100
 ROUNDS = 5
-FAR_MS = 60_000
+NEVER_MS = 60_000
 
 
 class SilentCase(RequestCase):
-    async def at_once(self, coroutine):
+    async def answered_promptly(self, coroutine):
         """Return what comes long before the caller's own timeout."""
         started_s = time.monotonic()
         answer = await coroutine
         elapsed_ms = (time.monotonic() - started_s) * MS_PER_SECOND
-        self.assertLess(elapsed_ms, AT_ONCE_MS, answer)
+        self.assertLess(elapsed_ms, PROMPT_MS, answer)
         return answer
 
 
@@ -39,11 +39,11 @@
             # The retry budget allows one more send for ten, and two connections
             # are silent.
             for i in range(25):
-                answer = await self.at_once(self.fetch(host, f"{n}-{i}"))
+                answer = await self.answered_promptly(self.fetch(host, f"{n}-{i}"))
                 self.assertEqual(answer.status, 200, answer)
             for name in ("desk-1", "desk-2"):
                 self.network.links_by_id[name].silence_old()
-            answer = await self.at_once(self.fetch(host, f"after-{n}"))
+            answer = await self.answered_promptly(self.fetch(host, f"after-{n}"))
             self.assertEqual(answer.status, 200, answer)
 
     async def test_a_note_gets_its_answer(self):
@@ -56,7 +56,7 @@
             # The first may go on a new connection, as one that has been idle for
             # long carries no note; the second may then meet the other upstream's.
             for name in (f"after-{n}", f"second-{n}"):
-                answer = await self.at_once(self.note(host, name))
+                answer = await self.answered_promptly(self.note(host, name))
                 await self.check_not_run(answer, name)
                 if answer.code == "upstream_timeout":
                     # The next one goes on a new connection.
@@ -71,7 +71,7 @@
         await eventually(lambda: self.has_tokens(10))
         for name in ("lm-1", "lm-2"):
             self.network.links_by_id[name].silence_old()
-        answer = await self.at_once(task)
+        answer = await self.answered_promptly(task)
         text = answer.json()["choices"][0]["text"]
         self.assertEqual(text, engine.expected_text("p", 0, TOKENS))
 
@@ -90,8 +90,8 @@
         settings={
             "membership": {
                 "host_list_poll_ms": 500,
-                "probe_interval_ms": FAR_MS,
-                "suspect_ms": FAR_MS,
+                "probe_interval_ms": NEVER_MS,
+                "suspect_ms": NEVER_MS,
             }
         },
     )
@@ -109,17 +109,17 @@
         task = asyncio.ensure_future(self.note(other, "slow", key))
         await eventually(lambda: self.is_run("slow"))
         self.silence_peers()
-        answer = await self.at_once(task)
+        answer = await self.answered_promptly(task)
         self.assertEqual(answer.status, 201, answer)
-        self.assertEqual(await self.runs("slow"), 1)
+        self.assertEqual(await self.run_count("slow"), 1)
 
     async def is_run(self, name):
-        return await self.runs(name) == 1
+        return await self.run_count(name) == 1
 
     async def test_an_owner_that_cannot_be_heard(self):
         asked = [self.complete(host, 5) for host in self.hosts]
         await asyncio.gather(*asked)
         self.silence_peers()
-        asked = [self.at_once(self.complete(host, 5)) for host in self.hosts]
+        asked = [self.answered_promptly(self.complete(host, 5)) for host in self.hosts]
         for answer in await asyncio.gather(*asked):
             self.assertEqual(answer.status, 200, answer)
--- a/test/proofs/test_whole_answers.py
+++ b/test/proofs/test_whole_answers.py
@@ -91,8 +91,10 @@
                 self.assertGreaterEqual(n, size - FRAMING_BYTES)
                 self.assertEqual(texts(answer.body), texts(whole.body))
                 continue
-            told = answer.code == "upstream_failed" or b"event: error" in answer.body
-            self.assertTrue(told, f"{n}: {answer}")
+            is_reported = (
+                answer.code == "upstream_failed" or b"event: error" in answer.body
+            )
+            self.assertTrue(is_reported, f"{n}: {answer}")
 
     async def test_wrong_lengths_and_missing_end_marks(self):
         await self.set_app("desk-1", app.WRONG_LENGTH)
@@ -217,10 +219,10 @@
         )
         for name, answer in zip(names, await asyncio.gather(*sent), strict=True):
             self.assertEqual(answer.json().get("saved"), name, answer)
-            self.assertEqual(await self.runs(name), 1)
+            self.assertEqual(await self.run_count(name), 1)
 
     async def have_run(self, *names):
-        return all([await self.runs(name) == 1 for name in names])
+        return all([await self.run_count(name) == 1 for name in names])
 
     async def is_known(self, host):
         """Tell whether each other host reaches one in its new place."""
