--- a/test/proofs/__init__.py
+++ b/test/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""What must always hold, proved with real processes under faults."""
+"""End-to-end tests of the guarantees, with real processes under injected faults."""
--- a/test/proofs/_fleet.py
+++ b/test/proofs/_fleet.py
@@ -1,4 +1,4 @@
-"""What the proofs about the whole fleet share: plans, callers and the platform."""
+"""Shared helpers for tests of the whole fleet: plans, callers and platform control."""
 
 import asyncio
 import base64
@@ -20,7 +20,7 @@
 MAX_EFFECT_DELAY_S = 15
 REPEATS = 5
 OK = 200
-# Short leases let a change come into force within three seconds.
+# With short leases, a change takes effect within 3 s.
 SHORT_INTERVALS = {
     "configuration": {
         "poll_ms": 200,
@@ -34,7 +34,7 @@
         "host_list_poll_ms": 400,
     },
 }
-# Served by hosts that are cut off as well, unlike those of account().
+# Also served by partitioned hosts, unlike the accounts that account() creates.
 DESK_ACCOUNT = AccountPlan("desk", "application", "desk", ("dash-api",))
 APP_POOL = PoolPlan("dash-api", "application", {"zone-a": 1, "zone-b": 1})
 
@@ -50,14 +50,14 @@
 
 
 class CommandResult(msgspec.Struct):
-    """What ``goldcrestmoor ask`` exited with and printed."""
+    """Exit code and output of ``goldcrestmoor ask``."""
 
     code: int
     text: str
 
 
 class _CommandedFleet(Fleet):
-    """A fleet that is given further commands in one change with its plan's."""
+    """A fleet that applies extra commands in the same change as its plan."""
 
     commands = ""
 
@@ -67,12 +67,12 @@
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
-    """A test with a fleet behind a network of links."""
+    """A test with a fleet whose traffic passes through fault-injecting links."""
 
     async def start(
         self, commands="", hosts=1, pools=(APP_POOL,), settings=SHORT_INTERVALS, **plan
     ):
-        """Start a fleet of two zones and give it commands."""
+        """Start a fleet of two zones and apply commands."""
         self.network = Network()
         zones = {"zone-a": hosts, "zone-b": hosts}
         self.fleet = _CommandedFleet(
@@ -85,13 +85,13 @@
         self.ids = [host.id for host in self.fleet.hosts]
 
     async def change(self, command, host_id=None):
-        """Give one command through the command line."""
+        """Run one command through the command line."""
         return CommandResult(*await self.fleet.ask(command, host_id))
 
     async def post_command(self, host_id, text, base_version=None):
-        """Give one command without the command line.
+        """Send one command by HTTP, without the command line.
 
-        :return: the status and the decoded answer.
+        :return: the status and the decoded response.
         """
         url = self.fleet.endpoint_by_id[host_id].url + "/operator/ask"
         body = json.dumps({"text": text, "base_version": base_version}).encode()
@@ -100,18 +100,18 @@
         return status, json.loads(answer or b"{}")
 
     async def show(self, host_id, text):
-        """Return the rows that a host shows, as dicts; none without an answer."""
+        """Return the rows of a SHOW command as dicts; empty without a response."""
         _, table = await self.post_command(host_id, text)
         columns = table.get("columns", ())
         return [dict(zip(columns, r, strict=True)) for r in table.get("rows", ())]
 
     async def version_here(self, host_id):
-        """Return the version that a host has adopted; None when it is silent."""
+        """Return the version a host has adopted; None when it does not respond."""
         rows = await self.show(host_id, "SHOW VERSION")
         return rows[0]["version_here"] if rows else None
 
     async def wait_version(self, version, host_ids=None):
-        """Wait until hosts have adopted a version."""
+        """Wait until the hosts have adopted a version."""
         for host_id in host_ids or self.ids:
 
             async def has_it(host_id=host_id):
@@ -120,19 +120,19 @@
             await _common.eventually(has_it)
 
     async def head_version(self):
-        """Return the version in the platform's table."""
+        """Return the configuration version stored in the platform's table."""
         control = self.fleet.platform_control
         row = await self.fleet.get_json(control, "/tables/configuration/head")
         return row["version"] if row else 0
 
     async def fetch(self, host_id, token, path="panels/1", timeout_ms=20_000):
-        """Fetch a panel through one host; return the status."""
+        """Fetch a panel through one host and return the status."""
         url = f"{self.fleet.endpoint_by_id[host_id].url}/apps/dash-api/{path}"
         headers = {"Authorization": f"Bearer {token}"}
         return (await http_get(url, headers, timeout_ms))[0]
 
     async def post(self, host_id, token, path, timeout_ms=20_000, **body):
-        """Send a JSON body through one host; return the status and the answer."""
+        """Send a JSON body through one host; return the status and decoded response."""
         url = self.fleet.endpoint_by_id[host_id].url + path
         headers = {"Authorization": f"Bearer {token}"}
         data = json.dumps(body).encode()
@@ -140,7 +140,7 @@
         return status, json.loads(answer or b"{}")
 
     async def assert_never_served(self, token, host_ids=None):
-        """Ask each host directly, again and again."""
+        """Check repeatedly that no host serves a token."""
         for _ in range(REPEATS):
             for host_id in host_ids or self.ids:
                 self.assertNotEqual(await self.fetch(host_id, token), OK, host_id)
@@ -155,7 +155,7 @@
             await _common.eventually(served)
 
     async def dead(self, seen_from, host_id):
-        """Wait until a host believes another one dead."""
+        """Wait until one host lists another as dead."""
 
         async def is_dead():
             rows = await self.show(seen_from, "SHOW HOSTS")
@@ -164,17 +164,17 @@
         await _common.eventually(is_dead)
 
     async def outage(self, mode="refuse"):
-        """Let the platform fail, or come back when the mode is empty."""
+        """Start a platform outage, or end it when the mode is empty."""
         control = self.fleet.platform_control
         await self.fleet.control(control, "outage", on=bool(mode), mode=mode)
 
     async def platform_stats(self):
-        """Return the platform's own counts."""
+        """Return the platform's own counters."""
         control = self.fleet.platform_control
         return await self.fleet.get_json(control, "/control/stats")
 
     async def run_count(self, path):
-        """Return how often the applications ran a path, by their own count."""
+        """Return how often the applications ran a path, by their own counters."""
         total = 0
         for upstream in self.fleet.upstreams:
             if upstream.pool == "dash-api":
@@ -183,12 +183,12 @@
         return total
 
     def begin(self, coroutine):
-        """Start a coroutine beside the test."""
+        """Start a coroutine in the background."""
         return asyncio.ensure_future(coroutine)
 
 
 class SlowCaller:
-    """A caller that sends the head and a part of the body, and the rest later."""
+    """A caller that sends the head and first byte of the body, and the rest later."""
 
     def __init__(self, endpoint, token, path, body):
         self.endpoint = endpoint
@@ -200,14 +200,14 @@
         ).encode() + body[:1]
 
     async def begin(self):
-        """Send the first part."""
+        """Send the head and the first byte of the body."""
         place = self.endpoint.address, self.endpoint.port
         self._reader, self._writer = await asyncio.open_connection(*place)
         self._writer.write(self._first)
         await self._writer.drain()
 
     async def finish(self):
-        """Send the rest and return the answer's status."""
+        """Send the rest of the body and return the response status."""
         self._writer.write(self._rest)
         line = await asyncio.wait_for(self._reader.readline(), 30)
         self._writer.close()
@@ -215,10 +215,10 @@
 
 
 def row_value(row):
-    """Return the document that a row of the platform holds."""
+    """Return the decoded JSON document of a platform row."""
     return json.loads(base64.b64decode(row["value"]))
 
 
 def seconds_since(started):
-    """Return the time since a reading of the monotonic clock."""
+    """Return the seconds elapsed since a monotonic clock reading."""
     return time.monotonic() - started
--- a/test/proofs/_requests.py
+++ b/test/proofs/_requests.py
@@ -1,4 +1,4 @@
-"""A small fleet behind fault-injecting links, and callers that see what came whole."""
+"""A small fleet behind fault-injecting links, and callers that check responses."""
 
 import asyncio
 import contextlib
@@ -34,8 +34,8 @@
     :param hosts: daemons by zone.
     :param apps: applications by zone.
     :param engines: engines by zone.
-    :param options: ``app``, ``engine`` and ``settings`` go over what is usual,
-        ``slots`` is what each upstream runs at a time.
+    :param options: ``app``, ``engine`` and ``settings`` override the defaults;
+        ``slots`` is the number of requests that each engine runs concurrently.
     """
     slots = options.get("slots", 16)
     pools = []
@@ -56,10 +56,10 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What a caller got.
+    """The response that a caller received.
 
-    :param status: the status, or 0 when no whole answer came.
-    :param body: the whole body.
+    :param status: the status, or 0 when no complete response arrived.
+    :param body: the complete body.
     :param headers: the headers, by name in lower case.
     """
 
@@ -69,12 +69,12 @@
 
     @property
     def code(self):
-        """The error's kind; empty when it is none of the service's."""
+        """The error code; empty unless the service itself reported an error."""
         return self._error().get("code", "")
 
     @property
     def ran(self):
-        """What an error says of whether the request ran."""
+        """Whether the request ran, as stated by the error."""
         return self._error().get("ran", "")
 
     def json(self):
@@ -88,7 +88,7 @@
 
 
 def call_once(url, method, path, body=None, headers=None, on_status=None):
-    """Send one request on a connection of its own, from a thread."""
+    """Send one request on a new connection; blocks, so run it in a thread."""
     host_and_port = url.removeprefix("http://")
     timeout_s = CALLER_TIMEOUT_MS / MS_PER_SECOND
     connection = http.client.HTTPConnection(host_and_port, timeout=timeout_s)
@@ -109,7 +109,7 @@
 
 
 class RequestCase(unittest.IsolatedAsyncioTestCase):
-    """A fleet of ``PLAN`` with the calls that proofs make of it."""
+    """A fleet of ``PLAN`` and the requests that tests send to it."""
 
     PLAN = None
     has_links = True
@@ -123,7 +123,7 @@
         self.upstreams = [upstream.id for upstream in self.fleet.upstreams]
 
     async def call(self, host, method, path, body=None, headers=None, on_status=None):
-        """Send one request to a host, by its name."""
+        """Send one request to a host, given by its ID."""
         url = self.fleet.endpoint_by_id[host].url
         arguments = (url, method, path, body, headers, on_status)
         return await asyncio.to_thread(call_once, *arguments)
@@ -134,31 +134,31 @@
         return await self.call(host, "GET", path, None, headers)
 
     async def note(self, host, name, key=None, **headers):
-        """Save a note, under a key if one is given."""
+        """Save a note, with an idempotency key if one is given."""
         headers["X-Note-Id"] = name
         if key:
             headers["Idempotency-Key"] = key
         return await self.call(host, "POST", "/apps/desk/notes", name, headers)
 
     async def complete(self, host, tokens, *, stream=False, prompt="p", **options):
-        """Ask for a completion."""
+        """Request a completion."""
         fields = {"model": "lm", "prompt": prompt, "max_tokens": tokens}
         body = json.dumps(fields | {"stream": stream})
         return await self.call(host, "POST", "/v1/completions", body, **options)
 
     async def mint(self, host):
-        """Return a key that a host minted."""
+        """Return an idempotency key minted by a host."""
         answer = await self.call(host, "POST", "/v1/keys")
         self.assertEqual(answer.status, 201, answer.body)
         return answer.json()["key"]
 
     async def counts(self, upstream):
-        """Return what an upstream counted, asked past its link."""
+        """Return the counters of an upstream, read directly, bypassing its link."""
         endpoint = self.fleet.endpoint_by_id[upstream]
         return await self.fleet.get_json(endpoint, "/control/counts")
 
     async def run_count(self, name):
-        """Return how often the applications ran a note, or a path."""
+        """Return how often the applications ran a note or a path."""
         total = 0
         for upstream in self.fleet.upstreams:
             if upstream.pool == "desk":
@@ -171,37 +171,37 @@
         return total
 
     async def set_app(self, upstream, mode, **options):
-        """Set an application's fault."""
+        """Set the fault mode of an application."""
         endpoint = self.fleet.endpoint_by_id[upstream]
         await self.fleet.control(endpoint, "mode", mode=mode, **options)
 
     async def set_engine(self, upstream, **options):
-        """Set an engine's options."""
+        """Set options of an engine."""
         await self.fleet.control(self.fleet.endpoint_by_id[upstream], "set", **options)
 
     async def cut_link(self, upstream):
-        """Cut an upstream's open connections, and wait until they are gone."""
+        """Cut the open connections to an upstream and wait until they are closed."""
         link = self.network.links_by_id[upstream]
         pairs = link.cut()
         await eventually(lambda: not link.any_open(pairs))
 
     async def outage(self, on):
-        """Begin or end an outage of the platform."""
+        """Start or end a platform outage."""
         await self.fleet.control(self.fleet.platform_control, "outage", on=on)
 
     async def ready(self, host):
-        """Tell whether a host wants requests from the balancer."""
+        """Return whether a host reports ready to the load balancer."""
         url = f"{self.fleet.endpoint_by_id[host].url}/readyz"
         return (await http_get(url))[0] == 200
 
     async def metric(self, host, name):
-        """Return the sum of a counter over its labels."""
+        """Return the sum of a counter over all its labels."""
         _, text = await http_get(f"{self.fleet.endpoint_by_id[host].url}/metrics")
         lines = (line for line in text.decode().splitlines() if line.startswith(name))
         return sum(float(line.rpartition(" ")[2]) for line in lines)
 
     async def answers(self, host):
-        """Wait until a host answers a fetch whole."""
+        """Wait until a host serves a fetch successfully."""
 
         async def is_answered():
             return (await self.fetch(host, "warm")).status == 200
@@ -209,7 +209,7 @@
         await eventually(is_answered)
 
     async def check_not_run(self, answer, name):
-        """Hold an error to what it says, with the applications as witness."""
+        """Check what an error states against the run counts of the applications."""
         run_count = await self.run_count(name)
         self.assertLessEqual(run_count, 1)
         if answer.ran == Ran.NOT_RUN:
@@ -220,18 +220,18 @@
 
 class NotesCase(RequestCase):
     async def new_keys(self):
-        """Return one key of each kind: minted by the first host, and the caller's."""
+        """Return a key minted by the first host and a key chosen by the caller."""
         return {"minted": await self.mint(self.hosts[0]), "claimed": f"k-{id(self)}"}
 
     async def check_answers(self, name, answers):
-        """Hold what callers were told to the applications' count."""
+        """Check the responses to callers against the run counts of the applications."""
         for answer in answers:
             await self.check_not_run(answer, name)
 
 
 @contextlib.asynccontextmanager
 async def in_background(coroutine):
-    """Run a coroutine while the block runs, and give its task."""
+    """Run a coroutine in the background of the block and yield its task."""
     task = asyncio.ensure_future(coroutine)
     try:
         yield task
--- a/test/proofs/_steps.py
+++ b/test/proofs/_steps.py
@@ -1,4 +1,4 @@
-"""A small fleet for the steps' proofs, and a bare HTTP trainer that checks answers."""
+"""A small fleet for tests of steps, and a plain HTTP trainer that checks responses."""
 
 import base64
 import json
@@ -30,8 +30,8 @@
     """Return a plan of two zones with an engine each and one trainer.
 
     :param bound: the trainer's staleness bound.
-    :param hosts: how many daemons the zones have.
-    :param slots: what each engine runs at a time.
+    :param hosts: number of daemons in each zone.
+    :param slots: number of requests that each engine runs concurrently.
     :param engine: further options of the engines.
     """
     options = {"tagged": True, "token_ms": 5.0, **engine}
@@ -48,12 +48,12 @@
 
 
 class Trainer:
-    """A trainer without the client library, which holds every answer to the promises.
+    """A trainer without the client library that checks every response for violations.
 
     :param fleet: the :class:`~test.fleet.Fleet`.
-    :param step: its step's name.
+    :param step: the name of its step.
     :param bound: its staleness bound.
-    :param token: its account's token.
+    :param token: the token of its client account.
     """
 
     def __init__(self, fleet, step="s1", bound=1, token=TOKEN):
@@ -75,7 +75,7 @@
         return await http_post(url, data, self._headers, timeout_ms)
 
     async def submit(self, host, groups=2, samples=3, max_tokens=20, **fields):
-        """Submit the step until a host takes it."""
+        """Submit the step repeatedly until a host accepts it."""
         self.group_by_index = {
             i: GroupBody(i, f"prompt {i} of {self.step}", samples, limit, 100 * i)
             for i, limit in enumerate(_per_group(max_tokens, groups))
@@ -91,13 +91,13 @@
         async def accepted():
             status, answer = await self.post(host, "/v1/steps", body, SUBMIT_TIMEOUT_MS)
             if status not in (202, 503, 504, None):
-                raise AssertionError(f"The step was refused: {status} {answer!r}")
+                raise AssertionError(f"The step was rejected: {status} {answer!r}")
             return status == 202
 
         await _common.eventually(accepted)
 
     async def publish(self, host, version):
-        """Move on to a new version and publish it until a host takes it."""
+        """Switch to a new version and publish it repeatedly until a host accepts it."""
         self.version = version
         body = {"model": MODEL, "version": version}
 
@@ -125,10 +125,10 @@
         timeout_ms=PULL_TIMEOUT_MS,
         keep=True,
     ):
-        """Pull once and check what comes; None when the host gave no answer.
+        """Pull once and check the response; return None when the pull fails.
 
-        :param held: the slots to name, all that it has when left out.
-        :param keep: whether to keep what comes.
+        :param held: the slots to report as held; by default all that the trainer holds.
+        :param keep: whether to store the received samples.
         """
         held = frozenset(self.held if held is None else held)
         version = self.version if version is None else version
@@ -142,9 +142,11 @@
         answer = msgspec.json.decode(data, type=PullAnswer)
         slots = [sample.slot for sample in answer.samples]
         if len(set(slots)) < len(slots) or held & set(slots):
-            self.violations.append(f"Doubled in one answer: {slots}, held {held}.")
+            self.violations.append(
+                f"Duplicate slots in a response: {slots}, held {held}."
+            )
         if answer.complete and set(slots) | held != self.slots:
-            self.violations.append(f"Called complete with {slots} and {held}.")
+            self.violations.append(f"Reported complete with {slots}, held {held}.")
         for sample in answer.samples:
             self._check(sample, version)
             if keep:
@@ -152,12 +154,12 @@
         return answer
 
     async def collect(self, *hosts):
-        """Pull through hosts in turn until every slot is held."""
+        """Pull through the hosts in turn until every slot is held."""
         turn = 0
 
         async def all_held():
             nonlocal turn
-            # A pull that names every slot would let the service forget the step.
+            # A pull that reports every slot as held lets the service delete the step.
             if set(self.held) == self.slots:
                 return True
             await self.pull(hosts[turn % len(hosts)])
@@ -168,8 +170,8 @@
         return dict(self.held)
 
     def _hold(self, sample):
-        # A trainer whose version moved on while the answer was under way looks at
-        # the versions that the sample names.
+        # The version may have advanced while the response was in flight, so the
+        # trainer checks the versions that the sample names.
         if oldest_version(sample) >= self.version - self.bound:
             self.held.setdefault(sample.slot, sample)
 
@@ -178,7 +180,7 @@
         if oldest < version - self.bound:
             self.violations.append(f"Stale for version {version}: {sample}.")
         seen = self._seen_by_slot.get(sample.slot)
-        # Only what went stale may be replaced.
+        # Only a sample that has become stale may be replaced.
         is_other = seen is not None and seen.digest != sample.digest
         if is_other and oldest_version(seen) >= self.version - self.bound:
             self.violations.append(f"Two samples for a slot: {seen} and {sample}.")
@@ -193,19 +195,22 @@
 
 
 def find_output_errors(group, sample):
-    """Yield what is wrong with a sample's text, which tells what made each token."""
+    """Yield the errors in the output of a sample.
+
+    Each token names its content, and the version and engine that generated it.
+    """
     index = 0
     for segment in sample.segments:
         words = segment.text.split()
         if len(words) != segment.tokens:
-            yield f"{segment.tokens} tokens stated, {len(words)} made: {sample}."
+            yield f"{segment.tokens} tokens stated, {len(words)} generated: {sample}."
         for word in words:
             token, version, _ = word.split(".")
             seed = group.seed + sample.slot.index
             if token != token_text(group.prompt, seed, index).strip():
-                yield f"Token {index} is not the next one: {sample}."
+                yield f"Token {index} is not the expected one: {sample}."
             if int(version) != segment.version:
-                yield f"Token {index} was made by version {version}: {sample}."
+                yield f"Token {index} was generated by version {version}: {sample}."
             index += 1
     if index != group.max_tokens:
         yield f"{index} of {group.max_tokens} tokens: {sample}."
@@ -222,13 +227,13 @@
 
 
 def engine_ports_of(sample):
-    """Return the port of the engine that made each of a sample's tokens."""
+    """Return, for each token of a sample, the port of the engine that generated it."""
     words = " ".join(segment.text for segment in sample.segments).split()
     return [int(word.split(".")[2].partition("-")[0]) for word in words]
 
 
 async def recorded_rows(fleet, table=GROUPS_TABLE):
-    """Return the rows of a table as the platform has them, also in an outage."""
+    """Return the stored rows of a platform table; works during an outage too."""
     _, body = await http_get(f"{fleet.platform_control.url}/tables/{table}?prefix=")
     return json.loads(body or b'{"rows": []}')["rows"]
 
@@ -247,10 +252,10 @@
 
 
 class StepProof(unittest.IsolatedAsyncioTestCase):
-    """Starts a fleet behind a network and ends it."""
+    """Starts and closes a fleet behind fault-injecting links."""
 
     async def command(self, text):
-        """Give an operator's command and see it accepted."""
+        """Run an operator command and check that it is accepted."""
         code, output = await self.fleet.ask(text)
         self.assertEqual(code, 0, output)
 
@@ -265,14 +270,14 @@
         return trainer
 
     async def assert_same_for_a_restarted_trainer(self, trainer, *hosts):
-        """Check that sets lost whole or in part are filled with the same samples."""
+        """Check that a trainer that lost samples receives the same ones again."""
         got = dict(trainer.held)
         for kept in (0, 1, len(got) - 1):
             trainer.held = dict(sorted(got.items())[:kept])
             self.assertEqual(await trainer.collect(*hosts), got)
 
     def holder_of(self, step):
-        """Return the host that is to hold a step and the others that live."""
+        """Return the expected holder of a step and the other live hosts."""
         hosts = [h for h in self.fleet.hosts if self.fleet.process_by_id[h.id].alive()]
         near = [h.id for h in hosts if h.zone == "zone-a"]
         holder = util.rendezvous(f"step/trainer/{step}", near)
@@ -282,7 +287,7 @@
         return await self.fleet.get_json(engine, "/control/counts") or {}
 
     async def wait_count(self, engine, name, least):
-        """Wait until an engine has counted so much."""
+        """Wait until a counter of an engine reaches a value."""
 
         async def reached():
             return (await self.counts(engine)).get(name, 0) >= least
@@ -290,7 +295,7 @@
         await _common.eventually(reached)
 
     async def wait_ordered(self, engine, version):
-        """Wait until an engine has been ordered to load a version."""
+        """Wait until an engine has received a load order for a version."""
 
         async def reached():
             orders = (await self.counts(engine)).get("orders", ())
--- a/test/proofs/hand_over.py
+++ b/test/proofs/hand_over.py
@@ -1,7 +1,7 @@
-"""Print how much longer a step takes when its holder dies in the middle of it.
+"""Print how much longer a step takes when its holder fails partway through.
 
-``python -m test.proofs.hand_over [--runs N]`` compares steps without a fault, with the
-holder killed, frozen and terminated, each in a fleet of its own.
+``python -m test.proofs.hand_over [--runs N]`` compares steps without a fault and with
+the holder terminated, killed or frozen. Each step runs in a new fleet.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 async def run_step(fault):
-    """Return how long a step took, in milliseconds, and the tokens that were made."""
+    """Return the duration of a step in milliseconds and the tokens generated."""
     async with Fleet(make_plan(hosts=(3, 1), slots=16, token_ms=8.0)) as fleet:
         near = [h.id for h in fleet.hosts if h.zone == ZONE]
         holder = util.rendezvous("step/trainer/s1", near)
--- a/test/proofs/histories.py
+++ b/test/proofs/histories.py
@@ -1,7 +1,7 @@
-"""Randomized short histories of faults, held to what must always hold.
+"""Randomized fault-injection runs that check the guarantees of the service.
 
-``python -m test.proofs.histories SEED [--count N]`` runs one, or N from a seed on, and
-prints what was done; it exits with 1 when a promise was broken.
+``python -m test.proofs.histories SEED [--count N]`` runs one history, or N with
+consecutive seeds, and prints the events. It exits with 1 when a guarantee is violated.
 """
 
 import argparse
@@ -37,14 +37,15 @@
 
 
 class History:
-    """One run: what is done, by a seed, and what was found wrong.
+    """One randomized run and the violations that it found.
 
-    :param seed: the seed of every choice.
-    :param on_line: called with each line of the history.
+    :param seed: the seed of every random choice.
+    :param on_line: called with each line of the event log.
     """
 
     def __init__(self, seed, on_line=None):
-        # Each part has choices of its own, whatever the others are slowed by.
+        # Each task has its own generator, so that delays in one task do not change
+        # the choices of another.
         self.rng = random.Random(seed)
         self._rng_by_part = collections.defaultdict(lambda: random.Random(seed))
         self.seed = seed
@@ -72,7 +73,7 @@
         )
 
     async def run(self):
-        """Run it and return what was found wrong."""
+        """Run the history and return the violations."""
         async with self.fleet:
             self._log(f"seed {self.seed}, staleness bound {self.bound}")
             work = [
@@ -84,22 +85,24 @@
             tasks = [asyncio.create_task(coroutine) for coroutine in work]
             await self._inject_faults()
             self._is_over = True
-            self._log("all is mended")
+            self._log("all faults are repaired")
             try:
                 async with asyncio.timeout(FINISH_TIMEOUT_S):
                     await asyncio.gather(*tasks)
                 await self._check_notes()
                 await self._check_shares()
             except (TimeoutError, AssertionError) as e:
-                self._record_violation(f"Not whole after all was mended: {e!r}")
+                self._record_violation(
+                    f"Not recovered after all faults were repaired: {e!r}"
+                )
             for name, process in self.fleet.process_by_id.items():
                 if not process.alive():
                     self._record_violation(
-                        f"{name} ended by itself: {process.log_tail()}"
+                        f"{name} exited unexpectedly: {process.log_tail()}"
                     )
                 if "Traceback" in process.log():
                     self._record_violation(
-                        f"{name} met an error: {_first_traceback(process)}"
+                        f"{name} logged an exception: {_first_traceback(process)}"
                     )
         self._log(f"done: {self.done}, notes {collections.Counter(self._outcomes())}")
         return self.violations
@@ -120,14 +123,14 @@
         return self._rng_by_part[part].choice(self.fleet.hosts)
 
     def _claim_idle_host(self):
-        """Return a host that nothing is done to, and take it; or None."""
+        """Pick a host and reserve it for a fault; None when it already has one."""
         host = self.rng.choice(self.fleet.hosts).id
         if host in self._busy:
             return None
         self._busy.add(host)
         return host
 
-    # What is broken and mended again.
+    # Faults and their repair.
 
     async def _inject_faults(self):
         names = ("kill", "terminate", "freeze", "cut", "outage", "lose_answers")
@@ -137,7 +140,7 @@
             name = self.rng.choice(names)
             duration_s = self.rng.uniform(FAULT_MIN_S, FAULT_MAX_S)
             if name in DATA_LOSS_FAULTS:
-                # What only two hosts keep is lost with both.
+                # Data that only two hosts hold is lost when both fail.
                 self._lossy_faults.append(name)
             pending.append(asyncio.create_task(getattr(self, f"_{name}")(duration_s)))
             await asyncio.sleep(duration_s * self.rng.uniform(0.5, 1.2))
@@ -182,7 +185,7 @@
 
     async def _outage(self, duration_s):
         mode = self.rng.choice(("refuse", "hang"))
-        self._log(f"platform out ({mode}) for {duration_s * 2:.1f} s")
+        self._log(f"platform unavailable ({mode}) for {duration_s * 2:.1f} s")
         control = self.fleet.platform_control
         await self.fleet.control(control, "outage", on=True, mode=mode)
         await asyncio.sleep(duration_s * 2)
@@ -190,7 +193,7 @@
 
     async def _lose_answers(self, duration_s):
         count = self.rng.randint(1, 4)
-        self._log(f"lose {count} answers to writes")
+        self._log(f"lose {count} responses to writes")
         control = self.fleet.platform_control
         await self.fleet.control(control, "lose_answers", count=count)
 
@@ -227,7 +230,7 @@
 
     async def _silence_old(self, duration_s):
         target = self.rng.choice(sorted(self.network.links_by_id))
-        self._log(f"old connections to {target} go silent")
+        self._log(f"open connections to {target} become unresponsive")
         self.network.links_by_id[target].silence_old()
 
     async def _delay(self, duration_s):
@@ -237,7 +240,7 @@
         await asyncio.sleep(duration_s)
         self.network.links_by_id[target].delay(0)
 
-    # What goes on meanwhile.
+    # Workload during the faults.
 
     async def _train(self):
         while not self._is_over:
@@ -245,8 +248,8 @@
             trainer.version = self.version
             await self._train_one(trainer)
             for fault in trainer.violations:
-                # A sample of a slot may differ from one that was lost with both of
-                # the hosts that kept it.
+                # A slot may get a different sample when both hosts that held the
+                # first one failed.
                 if not (fault.startswith("Two samples") and self._may_lose_copies()):
                     self._record_violation(fault)
             self.done["steps"] += 1
@@ -260,9 +263,7 @@
             await trainer.pull(self._host("train").id, wait_ms=500)
             if trainer.status == 404:
                 if not self._may_lose_copies():
-                    self._record_violation(
-                        f"{trainer.step} was accepted and forgotten."
-                    )
+                    self._record_violation(f"{trainer.step} was accepted, then lost.")
                 await trainer.submit(self._host("train").id, **size)
             draw = rng.random()
             if draw < 0.1 and not self._is_over:
@@ -275,7 +276,9 @@
             await self._publish(trainer)
         answer = await trainer.pull(self._host("train").id)
         if answer is not None and not answer.complete:
-            self._record_violation(f"{trainer.step} is not whole with all slots held.")
+            self._record_violation(
+                f"{trainer.step} is not complete with all slots held."
+            )
 
     async def _publish(self, trainer):
         if self.published < self.version:
@@ -295,7 +298,7 @@
             if status == 200:
                 found = json.loads(body or b"{}").get("panel")
                 if found != f"{path}?":
-                    self._record_violation(f"{path} was answered by {body!r}.")
+                    self._record_violation(f"{path} got the wrong response {body!r}.")
             self.done["fetches"] += 1
             await asyncio.sleep(0.05)
 
@@ -324,7 +327,7 @@
                 self.shares.append(share)
             await asyncio.sleep(1)
 
-    # What must hold in the end.
+    # Checks after the run.
 
     async def _check_notes(self):
         counts = collections.Counter()
--- a/test/proofs/notes_in_outage.py
+++ b/test/proofs/notes_in_outage.py
@@ -1,4 +1,4 @@
-"""How many notes land while the platform is down or a zone is cut off.
+"""Count the notes saved while the platform is unavailable or a zone is partitioned.
 
 ``python -m test.proofs.notes_in_outage`` prints the table.
 """
@@ -17,12 +17,13 @@
 
 
 async def count_notes(case, host, count):
-    """Send notes through one host, and count by kind of key those that landed.
+    """Send notes through one host and count the saved ones by kind of key.
 
     :param case: the :class:`~test.proofs._requests.RequestCase`.
     :param host: the host.
-    :param count: how many notes with each kind of key.
-    :raises AssertionError: when one ran twice, or ran though it was told it did not.
+    :param count: number of notes for each kind of key.
+    :raises AssertionError: when a note ran twice, or ran although its error
+        said that it did not.
     """
     landed = {}
     for kind in KINDS:
@@ -37,12 +38,12 @@
 
 
 class Comparison(RequestCase):
-    """The fleet that the table is made with."""
+    """The fleet in which the notes are counted."""
 
     PLAN = PLAN
 
     async def count(self, fault):
-        """Return what landed under one fault, counted by kind of key."""
+        """Return the number of notes saved under one fault, by kind of key."""
         fleet = self.fleet
         match fault:
             case "none":
@@ -71,7 +72,7 @@
 
 
 async def main():
-    """Print the table, with a fleet for each fault."""
+    """Print the table, using a new fleet for each fault."""
     print(f"notes landed of {NOTES}, sent at once through a host of zone-b")
     print(f"{'fault':<24}{'claim rows':>12}{'bound keys':>12}")
     for fault in FAULTS:
--- a/test/proofs/test_at_most_once.py
+++ b/test/proofs/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A note runs at most once, and as many as can be are saved."""
+"""A note runs at most once, and is saved whenever possible."""
 
 import asyncio
 
@@ -80,7 +80,7 @@
                 self.assertEqual(await self.run_count(name), 1)
 
     async def is_saved(self, name, key):
-        """Tell whether a note that was refused can be saved after the outage."""
+        """Return whether a note rejected during the outage is saved after it."""
         answer = await self.note(self.hosts[1], name, key)
         await self.check_not_run(answer, name)
         return answer.status == 201
--- a/test/proofs/test_at_most_once_hosts.py
+++ b/test/proofs/test_at_most_once_hosts.py
@@ -1,4 +1,4 @@
-"""A note runs at most once when its host freezes, dies or is cut off."""
+"""A note runs at most once when its host freezes, dies or is partitioned."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from test.proofs.notes_in_outage import count_notes
 from test.standins import app
 
-# Longer than a claim may be held between its writing and the sending.
+# Exceeds the maximum time between writing a claim and sending the request.
 FREEZE_MS = 5500
 DELAY_MS = 1500
 
@@ -33,7 +33,7 @@
         self.fleet.thaw(first)
         await self.check_answers("frozen", [await task, answer])
         self.assertEqual(await self.run_count("frozen"), 0)
-        # What it says of the request it has not sent allows a retry.
+        # The request was never sent, so the error allows a retry.
         self.assertEqual((await task).ran, "not run")
 
     async def claims(self):
--- a/test/proofs/test_bad_input.py
+++ b/test/proofs/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error and a counter, and harms no daemon."""
+"""Bad input is rejected with a clear error, is counted and crashes no daemon."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
         self.host = self.fleet.hosts[0]
 
     async def send(self, data):
-        """Send bytes as they are and return what comes back."""
+        """Send raw bytes and return the response bytes."""
         reader, writer = await asyncio.open_connection(
             self.host.address, self.host.port
         )
@@ -53,7 +53,7 @@
             writer.close()
 
     async def ask(self, path, method="GET", token=TOKEN, headers="", body=b""):
-        """Send one request and return its status and its decoded body."""
+        """Send one request and return the status and the decoded body."""
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
             f"Authorization: Bearer {token}\r\nContent-Length: {len(body)}\r\n"
@@ -102,7 +102,7 @@
         for number in range(BAD_INPUTS):
             garbage = rng.randbytes(rng.randrange(1, 300))
             start = b"POST /v1/steps HTTP/1.1\r\n" if number % 2 else b""
-            # A byte that no head may have ends each of them.
+            # The NUL byte is invalid in a request head, so each input is malformed.
             await self.send(start + garbage + b"\0\r\n\r\n")
         await self.send(b"GET / HTTP/1.1\r\nX: " + b"y" * 10_000 + b"\r\n\r\n")
         self.assertGreater(await self.bad_input_count(), before)
--- a/test/proofs/test_configuration_answers.py
+++ b/test/proofs/test_configuration_answers.py
@@ -1,4 +1,4 @@
-"""Proofs of the answers to a change: accepted, refused or unknown, and no other."""
+"""A configuration change is reported as accepted, refused or unknown, correctly."""
 
 import asyncio
 import pathlib
@@ -23,7 +23,7 @@
 
 class AnswerTest(FleetCase):
     async def settled(self, host_ids):
-        """Ask for the version as the operator is told to, and see all adopt it."""
+        """Wait until SHOW VERSION reports the platform's version on all hosts."""
 
         async def agreed():
             rows = [r for h in host_ids for r in await self.show(h, "SHOW VERSION")]
@@ -35,7 +35,7 @@
         return await self.head_version()
 
     async def wait_head_version(self, version):
-        """Wait until the platform has a version, whoever may hear of it."""
+        """Wait until the platform has stored a version, even if its reply is lost."""
 
         async def has_it():
             return await self.head_version() >= version
@@ -60,7 +60,7 @@
         for body in lost:
             self.assertEqual((body["outcome"], body["version"]), ("refused", base + 1))
         self.assertEqual(await self.settled(self.ids), base + 1)
-        # The command line tells the same, with its exit code.
+        # The command line reports the same outcome and sets its exit code.
         answer = await self.change(f"ALTER ACCOUNT desk SHARE 9 AT VERSION {base}")
         self.assertEqual(answer.code, REFUSED)
         self.assertIn(f"refused: {answer_text(base + 1)}", answer.text)
@@ -115,7 +115,7 @@
                 await self.outage("")
                 self.assertEqual(answer.code, UNKNOWN, answer.text)
                 self.assertIn(UNKNOWN_TEXT, answer.text)
-                # A write that was on its way may still land, and then holds.
+                # A write in flight may still be applied, and is then permanent.
                 version = await self.settled(others)
                 self.assertIn(version, (base, base + 1))
                 if point == self.at_the_write:
@@ -142,7 +142,7 @@
 
 
 def _has_caller(host):
-    """Tell whether a caller is connected to a host, as the kernel's table says."""
+    """Return whether /proc/net/tcp lists an established connection to a host."""
     address = int.from_bytes(socket.inet_aton(host.address), "little")
     place = f"{address:08X}:{host.port:04X}"
     lines = pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]
--- a/test/proofs/test_configuration_cut_off_terms.py
+++ b/test/proofs/test_configuration_cut_off_terms.py
@@ -1,4 +1,4 @@
-"""Proofs about the terms under which hosts without the platform serve."""
+"""Tests of the cut-off terms, under which hosts serve without the platform."""
 
 from test import _common
 from test.proofs._fleet import (
@@ -15,11 +15,11 @@
 
 class TermsTest(FleetCase):
     async def start(self, *args, **kwargs):
-        """Start with an account that is served by hosts that are cut off."""
+        """Start with an account that partitioned hosts also serve."""
         await super().start(account("desk", rest=""), *args, **kwargs)
 
     async def wait_refused_naming(self, host_id, driver):
-        """Give the change until it is refused for one silent host."""
+        """Repeat the change until it is refused as one host did not acknowledge it."""
 
         async def refused():
             answer = await self.change(DROP, driver)
@@ -29,7 +29,7 @@
         await _common.eventually(refused)
 
     async def wait_accepted(self, driver):
-        """Give the change until every host has acknowledged it."""
+        """Repeat the change until it is accepted, acknowledged by every host."""
 
         async def accepted():
             answer = await self.change(DROP, driver)
@@ -52,7 +52,7 @@
     async def test_a_lapsed_host_acts_on_the_stricter_terms_in_doubt(self):
         await self.start(hosts=2)
         doubtful, silent = self.ids[2], self.ids[1]
-        # The doubtful host acknowledges, the silent one keeps it from being made.
+        # The doubtful host acknowledges the change; the silent one prevents it.
         self.fleet.freeze(silent)
         await self.wait_refused_naming(silent, self.ids[0])
         await self.assert_served("desk", [doubtful])
@@ -65,7 +65,7 @@
         await self.assert_never_served("desk", [doubtful])
         self.network.mend()
         self.fleet.thaw(silent)
-        # It never came into force, so that all serve again.
+        # The change never took effect, so all hosts serve again.
         await self.assert_served("desk")
 
     async def test_a_host_that_a_peer_started_is_found(self):
@@ -76,7 +76,8 @@
         await self.fleet.start_host(new)
         await self.fleet.wait_ready(new)
         self.assertEqual(await self.fetch(new, "desk"), OK)
-        # Nobody believes it alive and the list lacks it; only its peer remembers.
+        # All consider the host dead and the host list lacks it; only its peer
+        # remembers it.
         self.fleet.freeze(new)
         await self.dead(self.ids[0], new)
         await self.dead(peer, new)
@@ -87,7 +88,7 @@
         await self.assert_never_served("desk", [*self.ids, new])
 
     async def add_host(self, new, peer):
-        """Place another daemon that only knows one peer and is not listed."""
+        """Add a daemon that is not in the host list and is configured with one peer."""
         number = int(self.fleet.endpoint_by_id[peer].address.split(".")[2])
         address = f"127.0.{number}.9"
         ports = _common.free_port(address), _common.free_port(address)
--- a/test/proofs/test_configuration_in_force.py
+++ b/test/proofs/test_configuration_in_force.py
@@ -1,4 +1,4 @@
-"""Proofs that no host acts on an older configuration after ``accepted``."""
+"""No host acts on an older configuration after a change is ``accepted``."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class HostTest(FleetCase):
-    """Hosts that are frozen, cut off or slow across a change."""
+    """Hosts that are frozen, partitioned or slow during a change."""
 
     async def test_in_force_on_all_hosts_within_the_stated_time(self):
         await self.start(hosts=2, settings={}, accounts=(DESK_ACCOUNT,))
@@ -44,7 +44,7 @@
         change = "DROP ACCOUNT dropped; ALTER ACCOUNT renamed TOKEN 'new'"
         answer = await self.change(change)
         self.assertEqual(answer.code, ACCEPTED, answer.text)
-        # The requests wait in the frozen host's sockets when it wakes.
+        # The requests are waiting in the frozen host's sockets when it resumes.
         tokens = ("dropped", "renamed") * 4
         waiting = [self.begin(self.fetch(frozen, t, "panels/frozen")) for t in tokens]
         await self.assert_never_served("dropped", others)
@@ -65,7 +65,7 @@
         self.assertEqual(answer.code, ACCEPTED, answer.text)
         for _ in range(3):
             await self.assert_never_served("desk")
-        # An account that may be served meanwhile goes on.
+        # An account that partitioned hosts may serve is still served.
         await self.assert_served("local", cut)
         self.network.mend()
         await self.wait_version(await self.head_version())
--- a/test/proofs/test_configuration_work.py
+++ b/test/proofs/test_configuration_work.py
@@ -1,4 +1,4 @@
-"""Proofs that work begun before a change does not outlive what it allowed."""
+"""Work started before a configuration change does not exceed what the change allows."""
 
 import asyncio
 
@@ -13,10 +13,10 @@
 
 
 class EngineTest(FleetCase):
-    """Work on engines that began before a change."""
+    """Work on engines that started before a change."""
 
     async def start_engine(self, rest=""):
-        """Start a fleet with one slow slot; return the engine."""
+        """Start a fleet with one slow slot and return the engine."""
         commands = account("long", pools="lm-pool") + account("queued", pools="lm-pool")
         commands += account(
             "coach", "trainer", "lm-pool", f"STALENESS 3 ZONE zone-a {rest}"
@@ -26,7 +26,7 @@
         return self.fleet.upstreams[0]
 
     def complete(self, host_id, token, tokens):
-        """Ask for a completion in the background."""
+        """Request a completion in the background."""
         return self.begin(
             self.post(
                 host_id,
@@ -40,7 +40,7 @@
         )
 
     async def counts(self, engine):
-        """Return the engine's own counts."""
+        """Return the engine's own counters."""
         return await self.fleet.get_json(engine, "/control/counts")
 
     async def test_a_queued_request_is_not_admitted_after_the_change(self):
@@ -65,7 +65,7 @@
         await self.fleet.control(engine, "set", token_ms=0.01)
         statuses = [status for status, _ in await asyncio.gather(*queued)]
         self.assertNotIn(OK, statuses)
-        # Only the long stream ever ran.
+        # Only the long completion ran.
         self.assertEqual((await self.counts(engine))["started"], 1)
 
     async def test_a_pull_that_began_before_a_tighter_bound(self):
@@ -85,7 +85,7 @@
         pull = self.begin(self.pull_raw(entry, step, version=3))
         await asyncio.sleep(0.5)
         self.fleet.freeze(entry)
-        # The holder answers the pull that it has while the asking host is frozen.
+        # The holder replies to the forwarded pull while the entry host is frozen.
         await self.fleet.control(engine, "set", token_ms=0.1)
         driver = next(i for i in self.ids if i != entry)
 
--- a/test/proofs/test_exactly_once.py
+++ b/test/proofs/test_exactly_once.py
@@ -1,4 +1,4 @@
-"""Each sample reaches its trainer once, whatever is late, lost, killed or cut."""
+"""Each sample reaches its trainer exactly once despite delays, loss, kills and cuts."""
 
 import asyncio
 
@@ -17,10 +17,10 @@
         holder, others = self.holder_of("s1")
         await self.wait_count(near, "finished", 1)
         await self.command(f"RESUME UPSTREAM {far.id}")
-        # The longer stream is left behind, and the other engine goes on from it.
+        # The longer stream becomes a straggler, and the other engine continues it.
         await self.set_engine(near, token_ms=60.0)
         await self.wait_count(far, "started", 1)
-        # Both copies end while their reader stands still.
+        # Both copies finish while the holder that reads them is frozen.
         self.fleet.freeze(holder)
         await self.wait_count(near, "finished", 2)
         await self.wait_count(far, "finished", 1)
@@ -48,7 +48,7 @@
         await self.assert_same_for_a_restarted_trainer(trainer, *others, holder)
 
     async def start_isolated_holder(self):
-        """Start a step whose holder records, but reaches no other host."""
+        """Start a step whose holder reaches the platform but no other host."""
         trainer = await self.start(hosts=(3, 1), token_ms=10.0)
         await trainer.submit("zone-a-1", groups=2, samples=3, max_tokens=60)
         holder, others = self.holder_of("s1")
@@ -78,7 +78,7 @@
 
     async def test_a_holder_apart_records_beside_a_new_one(self):
         trainer, _, others = await self.start_isolated_holder()
-        # The pull makes another host the holder while the first one goes on.
+        # The pull makes another host the holder while the first one continues.
         await trainer.pull(others[0])
         made = await self.wait_all_recorded()
         self.assertEqual(await trainer.collect(*others), made)
--- a/test/proofs/test_graceful_shutdown.py
+++ b/test/proofs/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A host that is told to stop cuts nothing off and hands its duties over."""
+"""A terminated host completes its requests and hands over its duties."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 class ShutdownCase(RequestCase):
     async def begin_streams(self, hosts, tokens=TOKENS):
-        """Start streams through hosts, and wait until each has begun."""
+        """Start streams through the hosts and wait until each has begun."""
         loop, begun = asyncio.get_running_loop(), []
 
         def on_status(status):
@@ -45,7 +45,7 @@
         return next(row[column] for row in shown["rows"] if row[0] == upstream)
 
     async def end(self, host):
-        """Wait until a terminated host has ended by itself."""
+        """Wait until a terminated host exits, and check that its exit code is 0."""
         code = await self.fleet.process_by_id[host].wait()
         self.assertEqual(code, 0, self.fleet.process_by_id[host].log_tail())
 
@@ -62,7 +62,7 @@
         slow = asyncio.ensure_future(self.note(host, "slow"))
         await eventually(lambda: self.is_run("slow"))
         self.fleet.terminate(host)
-        # The balancer is told first; what it still sends is served.
+        # The load balancer is notified first; requests that it still sends are served.
         await eventually(lambda: self.is_unready(host))
         self.assertEqual((await self.fetch(host, "late")).status, 200)
         await self.end(host)
@@ -77,7 +77,7 @@
         return not await self.ready(host)
 
     async def test_an_owner_with_a_queue(self):
-        """What runs goes on, and what waits at the owner is admitted by the next."""
+        """Running streams continue; the next owner admits the queued requests."""
         owner = await self.owner_of("lm-1", self.hosts[0])
         others = [host for host in self.hosts if host != owner]
         tasks = await self.begin_streams(others + [owner])
@@ -98,7 +98,7 @@
         return await self.metric(owner, "goldcrestmoor_queue_length{") > 0
 
     async def test_the_host_that_minted_a_key(self):
-        """A note that it sends for another host is in flight there, too."""
+        """A note that the host sends on behalf of another host also completes."""
         host, other = self.hosts[:2]
         await self.set_app("desk-1", app.SLOW, slow_s=3)
         unused = await self.mint(host)
@@ -114,7 +114,7 @@
         await self.check_not_run(answer, "unused")
 
     async def test_a_caller_that_has_gone(self):
-        """Its keyed note is in flight still, and its outcome is kept for a retry."""
+        """A disconnected caller's keyed note completes; a retry gets its outcome."""
         host, other = self.hosts[:2]
         await self.set_app("desk-1", app.SLOW, slow_s=2)
         endpoint = self.fleet.endpoint_by_id[host]
--- a/test/proofs/test_histories.py
+++ b/test/proofs/test_histories.py
@@ -1,4 +1,4 @@
-"""Fixed seeds of randomized histories, and the seeds that once failed."""
+"""Randomized histories with fixed seeds, including seeds that failed before."""
 
 import unittest
 
--- a/test/proofs/test_leaving_upstream.py
+++ b/test/proofs/test_leaving_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream that is leaving gets no new work after a few seconds."""
+"""A leaving upstream gets no new work after a few seconds."""
 
 import asyncio
 import time
@@ -7,7 +7,7 @@
 from test.proofs._requests import RequestCase, make_plan
 from test.standins import engine
 
-# Where the brief says a few seconds.
+# The requirement says "a few seconds".
 BOUND_S = 5
 WATCH_S = 1.5
 CALLERS = 2
@@ -20,7 +20,7 @@
 
 
 class LeavingTest(RequestCase):
-    """Each of three ways to leave, at once, with the shipped intervals."""
+    """Upstreams that leave in three ways simultaneously, with the default intervals."""
 
     PLAN = make_plan(
         {"zone-a": 2, "zone-b": 1},
@@ -41,13 +41,13 @@
         self.answers = []
 
     async def load(self, ask):
-        """Keep work of one kind coming through a host."""
+        """Send requests of one kind through a host until the test is over."""
         while not self.is_over:
             self.answers.append(await ask())
             await asyncio.sleep(PAUSE_S)
 
     async def work_by_upstream(self):
-        """Return how much work each upstream has been given, and tokens it made."""
+        """Return, by upstream, the requests that it was sent and tokens generated."""
         count_by_upstream = {}
         for name in self.upstreams:
             counts = await self.counts(name)
@@ -57,7 +57,7 @@
         return count_by_upstream
 
     async def leave(self):
-        """Have one upstream of each pool leave in each way."""
+        """Make one upstream of each pool leave in each of the three ways."""
         states = {BY_LIST.format(pool): "leaving" for pool in POOLS}
         hosts = self.fleet.listed_hosts(states)
         await self.fleet.control(self.fleet.platform_control, "hosts", hosts=hosts)
@@ -70,7 +70,7 @@
         return order
 
     async def written_version(self):
-        """Return the version of the configuration that the platform has."""
+        """Return the configuration version that the platform has stored."""
         path = "/tables/configuration/head"
         row = await self.fleet.get_json(self.fleet.platform_control, path)
         return row["version"]
@@ -79,22 +79,22 @@
         return await self.written_version() > version
 
     async def check_no_new_work(self, since_s, is_after_resume=False):
-        """From five seconds after a moment on, no work goes to those that leave."""
+        """Check that leaving upstreams get no new work after ``BOUND_S``."""
         await asyncio.sleep(max(0, since_s + BOUND_S - time.monotonic()))
         before = await self.work_by_upstream()
         await asyncio.sleep(WATCH_S)
         after = await self.work_by_upstream()
         for pool in POOLS:
             if pool == "desk" or not is_after_resume:
-                # There is work, which the one that stays goes on with. An owner that
-                # stood still may count grants for a while that have ended.
+                # The remaining upstream still gets work. Engines are exempt after a
+                # process pause, as the owner may then count ended grants for a while.
                 self.assertGreater(after[f"{pool}-4"][1], before[f"{pool}-4"][1])
             for pattern in (BY_LIST, BY_OPERATOR, BY_ANSWER):
                 name = pattern.format(pool)
                 self.assertEqual(after[name][0], before[name][0], name)
 
     async def test_queues_streams_and_a_zone_that_cannot_hear(self):
-        """One zone loses the platform just before, and one host stands still."""
+        """One zone loses the platform just before, and one host is frozen."""
         frozen = self.hosts[1]
         going_on = [host for host in self.hosts if host != frozen]
         streams = [
@@ -118,7 +118,7 @@
         order = await self.leave()
         since_s = time.monotonic()
         self.fleet.freeze(frozen)
-        # The zone can learn of it from the host that goes on.
+        # The partitioned zone can receive the change from the host still running.
         await self.check_no_new_work(since_s)
         self.fleet.thaw(frozen)
         await self.check_no_new_work(time.monotonic(), is_after_resume=True)
--- a/test/proofs/test_membership_faults.py
+++ b/test/proofs/test_membership_faults.py
@@ -1,4 +1,4 @@
-"""Proofs about who is believed alive: bytes, freezes, a wrong list and cuts."""
+"""Membership: traffic, process freezes, a wrong host list and partitions."""
 
 import asyncio
 import itertools
@@ -10,12 +10,11 @@
 from test.proofs._fleet import FleetCase
 
 MAX_BYTES_PER_S = 7000
-# Two rounds of probes and more in the largest fleet here: 7 hosts of the own zone
-# take three of four probes at two a second. Within less than a round some host is
-# probed by chance more often than others, and the more hosts, the further the
-# busiest stands out.
+# More than two rounds of probes in the largest fleet here: the 7 other hosts of a zone
+# get three of four probes, at 2 probes/s. In less than one round, some hosts are
+# probed more often by chance, and the busiest host deviates more in a larger fleet.
 WINDOW_S = 12
-# From 4 to 16 hosts an exchange between all would grow fivefold.
+# From 4 to 16 hosts, an all-to-all exchange would grow fivefold.
 MAX_GROWTH = 1.5
 LIST_READ_TWICE_S = 5
 FREEZES = 3
@@ -26,23 +25,23 @@
 
 class MembershipCase(FleetCase):
     async def metrics(self, host_id):
-        """Return a host's metrics as text."""
+        """Return the metrics page of a host as text."""
         url = self.fleet.endpoint_by_id[host_id].url
         return (await http_get(f"{url}/metrics"))[1].decode()
 
     async def alive_hosts_seen_by(self, host_id):
-        """Return the hosts that a host calls alive."""
+        """Return the hosts that a host lists as alive."""
         rows = await self.show(host_id, "SHOW HOSTS")
         return {row["id"] for row in rows if row["state"] == "alive"}
 
     async def live_count_seen_by(self, host_id):
-        """Return how many hosts a host gives work to."""
+        """Return the number of hosts that a host gives work to."""
         text = await self.metrics(host_id)
         counts = re.findall(r"^goldcrestmoor_live_hosts{.*} (\S+)$", text, re.M)
         return sum(float(count) for count in counts)
 
     async def wait_agreed(self, alive, host_ids=None):
-        """Wait until hosts agree on who is alive."""
+        """Wait until the hosts agree on which hosts are alive."""
         for host_id in host_ids or alive:
 
             async def agrees(host_id=host_id):
@@ -64,14 +63,14 @@
         self.assertLess(rates[16], MAX_GROWTH * rates[4], rates)
 
     async def rate(self):
-        """Return the bytes a second of the busiest host's membership messages."""
+        """Return the membership traffic of the busiest host in bytes/s."""
         before, started = await self.bytes_by_host(), time.monotonic()
         await asyncio.sleep(WINDOW_S)
         after, seconds = await self.bytes_by_host(), time.monotonic() - started
         return max((after[i] - before[i]) / seconds for i in self.ids)
 
     async def bytes_by_host(self):
-        """Return the bytes of membership messages so far."""
+        """Return the bytes of membership messages by host so far."""
         texts = await asyncio.gather(*(self.metrics(i) for i in self.ids))
         return {
             host_id: sum(float(value) for _, value in PROBES.findall(text))
@@ -94,7 +93,8 @@
                     returns += is_live and not was_live
                     was_live = is_live
                     await asyncio.sleep(0.05)
-        # It gets its work back once, and then is held back for longer each time.
+        # The host gets work again once; then flap damping holds it down for longer
+        # each time.
         self.assertLessEqual(returns, 1)
         await self.wait_agreed(self.ids)
 
@@ -120,7 +120,7 @@
 class ListTest(MembershipCase):
     async def test_a_wrong_list_is_only_an_input(self):
         await self.start(hosts=2, settings={})
-        # The list names a host that never was, and of the others only the first.
+        # The list names a host that never existed, and only the first of the others.
         first, killed = self.ids[0], self.ids[-1]
         entry = next(e for e in self.fleet.listed_hosts() if e["id"] == first)
         ghost = entry | {"id": "ghost", "peer_port": _common.free_port("127.0.1.7")}
@@ -131,18 +131,18 @@
         for host_id in self.ids:
             log = self.fleet.process_by_id[host_id].log()
             self.assertFalse("is dead" in log, host_id)
-        # It goes on to name a host that is dead.
+        # The list still names a dead host.
         dead = next(e for e in self.fleet.listed_hosts() if e["id"] == killed)
         await self.list_hosts([entry, ghost, dead])
         self.fleet.kill(killed)
         await self.wait_agreed(self.ids[:-1])
-        # One that it does not name comes back and is found by all.
+        # An unlisted host restarts and is discovered by all.
         await self.list_hosts([entry, ghost])
         await self.fleet.start_host(killed)
         await self.wait_agreed(self.ids)
 
     async def list_hosts(self, entries):
-        """Have the platform list these."""
+        """Set the entries of the platform's host list."""
         control = self.fleet.platform_control
         await self.fleet.control(control, "hosts", hosts=entries)
 
--- a/test/proofs/test_not_run.py
+++ b/test/proofs/test_not_run.py
@@ -1,4 +1,4 @@
-"""When an error says that a request was not run, the application has not run it."""
+"""When an error says that a request was not run, no application ran it."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
         self.link = self.network.links_by_id["desk-1"]
 
     async def expect(self, name, code, ran, answer=None):
-        """Save a note, and hold its error to the application's count."""
+        """Save a note and check its error against the run count of the application."""
         answer = answer or await self.note(self.host, name)
         self.assertEqual((answer.code, answer.ran), (code, ran), f"{name}: {answer}")
         await self.check_not_run(answer, name)
@@ -34,12 +34,12 @@
         answer = await self.note(self.host, "again")
         self.assertEqual(answer.status, 201)
         self.fleet.kill("desk-1")
-        # The link takes the connection and closes it, with or without the request.
+        # The link accepts the connection, then closes it with or without the request.
         answer = await self.note(self.host, "dead")
         self.assertIn(answer.code, ("upstream_unreachable", "upstream_failed"))
 
     async def test_cut_at_each_point_of_the_request(self):
-        """No count of bytes at which the request is cut makes a false statement."""
+        """No error is wrong about the run, whichever byte the request is cut at."""
         before = self.link.bytes_by_direction[UP]
         await self.note(self.host, "whole")
         size = self.link.bytes_by_direction[UP] - before
@@ -50,7 +50,7 @@
                     await self.note(self.host, f"warm-{n}")
                 else:
                     await self.cut_link("desk-1")
-                # On a reused connection the request before has passed already.
+                # A reused connection has already transferred the previous request.
                 self.link.cut_after(n + size * is_reused, UP)
                 name = f"cut-{n}-{is_reused}"
                 await self.check_not_run(await self.note(self.host, name), name)
@@ -68,7 +68,7 @@
         self.assertEqual(await self.run_count("during"), 1)
         await self.cut_link("desk-1")
         await self.link.heal()
-        # The upstream closes its idle connections: nothing may be lost by it.
+        # When the upstream closes idle connections, no note may be lost.
         for n in range(5):
             self.assertEqual((await self.note(self.host, f"idle-{n}")).status, 201)
             await self.cut_link("desk-1")
@@ -90,7 +90,7 @@
         await self.outage(False)
 
     async def test_a_host_that_shuts_down(self):
-        """Notes keep coming while the host goes; each is told the truth."""
+        """Notes sent during shutdown get a correct statement of whether they ran."""
         answers = {}
 
         async def caller(number):
@@ -113,7 +113,7 @@
 
 
 class EngineNotRunTest(RequestCase):
-    """Work for engines waits in a queue, is shed and is refused."""
+    """Requests to engines that time out in the queue, are shed or are rejected."""
 
     PLAN = make_plan(
         {"zone-a": 2},
--- a/test/proofs/test_orders.py
+++ b/test/proofs/test_orders.py
@@ -1,4 +1,4 @@
-"""Proofs about orders to engines while holders of the lease freeze and wake."""
+"""Load orders to engines while lease holders freeze and resume."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from test.fleet import PoolPlan
 from test.proofs._fleet import ACCEPTED, MODEL, FleetCase, row_value
 
-# The longest order and the lease with its margin: how long a holder that ignores
-# fencing must be waited out.
+# Longest load order plus the lease and its margin: how long a new holder waits before
+# it sends orders to an engine that ignores fencing numbers.
 MAX_ORDER_MS = 10_000
 READ_BACK_S = 3.5
 AFTER_RESUME_S = 4
@@ -32,12 +32,12 @@
         self.assertEqual(answer.code, ACCEPTED, answer.text)
 
     async def load(self, version, host_id):
-        """Order a version through a host."""
+        """Send LOAD VERSION through a host."""
         answer = await self.change(f"LOAD VERSION {version} FOR MODEL {MODEL}", host_id)
         self.assertEqual(answer.code, ACCEPTED, answer.text)
 
     async def counts(self, engine):
-        """Return an engine's own counts."""
+        """Return the counters of an engine."""
         return await self.fleet.get_json(engine, "/control/counts")
 
     async def wait_engine_version(self, engine, version):
@@ -49,7 +49,7 @@
         await _common.eventually(is_loaded)
 
     async def holder(self):
-        """Return the host that holds the model's lease, by the platform's row."""
+        """Return the holder of the model's lease, read from the platform's row."""
         control = self.fleet.platform_control
         row = await self.fleet.get_json(control, f"/tables/leases/weights%2F{MODEL}")
         return row_value(row)["holder"]
@@ -61,7 +61,8 @@
             await self.wait_engine_version(engine, 2)
         old = await self.holder()
         new = next(i for i in self.ids if i != old)
-        # By then it has read back what they run, and would not look again at once.
+        # By then the holder has read back the loaded versions and does not read them
+        # again immediately.
         await asyncio.sleep(READ_BACK_S)
         self.fleet.freeze(old)
         await self.load(4, new)
@@ -85,7 +86,7 @@
         await self.wait_engine_version(self.ignores, 2)
         old = await self.holder()
         new = next(i for i in self.ids if i != old)
-        # Its last order reaches the engine late, when the next holder is at work.
+        # The last load order of the old holder arrives when the new one is active.
         link = self.network.links_by_id[self.ignores.id]
         link.delay(MAX_ORDER_MS - 500, "up")
         await self.load(3, old)
@@ -112,6 +113,6 @@
         self.assertNotEqual(version_by_name[self.checks.id], 2)
         await self.fleet.control(self.checks, "set", fail_swap=False)
         await self.wait_engine_version(self.checks, 2)
-        # Each order names the version to run, so that a repeat is harmless.
+        # Each load order names its version, so repeating one is harmless.
         orders = (await self.counts(self.checks))["orders"]
         self.assertEqual({o["version"] for o in orders}, {2})
--- a/test/proofs/test_recovery.py
+++ b/test/proofs/test_recovery.py
@@ -1,4 +1,4 @@
-"""Proofs that a fleet comes back from outages and restarts without a stampede."""
+"""A fleet recovers from outages and restarts without a thundering herd."""
 
 import asyncio
 import time
@@ -7,29 +7,29 @@
 from test.fleet import http_get
 from test.proofs._fleet import APP_POOL, DESK_ACCOUNT, OK, FleetCase, account, engines
 
-# The platform's two thousand reads a second, shared by 350 hosts.
+# The platform's capacity of 2000 reads/s, shared by 350 hosts.
 READS_PER_HOST = 2000 / 350
 NOT_READY = 503
 OUTAGE_S = 8
 FETCHES = 100
 RETRY_SHARE = 0.1
-# One retry a second is let through even without budget.
+# One retry per second is allowed even when the budget is used up.
 MIN_RETRIES_PER_S = 1
 
 
 class RecoveryTest(FleetCase):
     async def ready(self, host_id):
-        """Return the status that a host gives the balancer."""
+        """Return the readiness status that a host reports to the load balancer."""
         url = self.fleet.endpoint_by_id[host_id].url
         return (await http_get(f"{url}/readyz"))[0]
 
     async def reads(self):
-        """Return how many reads the platform has answered."""
+        """Return the number of reads that the platform has served."""
         stats = await self.platform_stats()
         return stats.get("reads", 0) + stats.get("host_reads", 0)
 
     async def peak_reads(self, task):
-        """Return the most reads in a second until something is done."""
+        """Return the maximum reads in one second until a task is done."""
         peak, samples = 0, [(time.monotonic(), await self.reads())]
         end = None
         while end is None or time.monotonic() < end:
@@ -56,7 +56,7 @@
         attempts = self.platform_link.accepted
         await asyncio.sleep(OUTAGE_S)
         attempts = self.platform_link.accepted - attempts
-        # While it is down, hosts ask it less often than they would otherwise.
+        # During the outage, hosts send fewer requests than in normal operation.
         self.assertLess(attempts / OUTAGE_S, READS_PER_HOST * len(self.ids))
         await self.outage("")
         back = self.begin(self.all_ready())
--- a/test/proofs/test_retry_storm.py
+++ b/test/proofs/test_retry_storm.py
@@ -1,4 +1,4 @@
-"""However much fails, retries add at most a tenth to the upstreams' load."""
+"""Retries add at most 10% to the load of the upstreams, however many requests fail."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
     PLAN = make_plan({"zone-a": 2}, {"zone-a": 3}, {"zone-a": 3})
 
     async def storm(self, ask):
-        """Send requests through all hosts, and return what hosts may add to them."""
+        """Send requests through all hosts; return responses and the retries allowed."""
         started_s = time.monotonic()
         gate = asyncio.Semaphore(CONCURRENCY)
 
@@ -27,7 +27,7 @@
 
         answers = await asyncio.gather(*(one(n) for n in range(REQUESTS)))
         elapsed_ms = (time.monotonic() - started_s) * MS_PER_SECOND
-        # Each host may also make one retry in each interval, however little it sends.
+        # Each host may also send one retry per interval, however few requests it sends.
         floor = len(self.hosts) * (1 + elapsed_ms // FLOOR_INTERVAL_MS)
         return answers, REQUESTS // RETRY_DIVISOR + floor
 
--- a/test/proofs/test_silent_connections.py
+++ b/test/proofs/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""A connection that goes silent for good is noticed by progress deadlines."""
+"""Progress timeouts detect a connection that becomes permanently unresponsive."""
 
 import asyncio
 import time
@@ -16,7 +16,7 @@
 
 class SilentCase(RequestCase):
     async def answered_promptly(self, coroutine):
-        """Return what comes long before the caller's own timeout."""
+        """Return the response; it must arrive well before the request timeout."""
         started_s = time.monotonic()
         answer = await coroutine
         elapsed_ms = (time.monotonic() - started_s) * MS_PER_SECOND
@@ -36,8 +36,8 @@
     async def test_a_fetch_moves_to_another_connection(self):
         host = self.hosts[0]
         for n in range(ROUNDS):
-            # The retry budget allows one more send for ten, and two connections
-            # are silent.
+            # The retry budget allows one retry per ten requests, and two connections
+            # are unresponsive.
             for i in range(25):
                 answer = await self.answered_promptly(self.fetch(host, f"{n}-{i}"))
                 self.assertEqual(answer.status, 200, answer)
@@ -53,17 +53,18 @@
                 await self.note(host, f"warm-{n}-{i}")
             for name in ("desk-1", "desk-2"):
                 self.network.links_by_id[name].silence_old()
-            # The first may go on a new connection, as one that has been idle for
-            # long carries no note; the second may then meet the other upstream's.
+            # The first note may use a new connection, as notes are not sent on a
+            # connection that has been idle for long; the second may then use the
+            # connection to the other upstream.
             for name in (f"after-{n}", f"second-{n}"):
                 answer = await self.answered_promptly(self.note(host, name))
                 await self.check_not_run(answer, name)
                 if answer.code == "upstream_timeout":
-                    # The next one goes on a new connection.
+                    # The next note uses a new connection.
                     self.assertEqual((await self.note(host, f"next-{n}")).status, 201)
                     return
                 self.assertEqual(answer.status, 201, answer)
-        self.fail("No note met a silent connection.")
+        self.fail("No note was sent on an unresponsive connection.")
 
     async def test_a_stream_goes_on_at_another_engine(self):
         asked = self.complete(self.hosts[0], TOKENS)
@@ -81,7 +82,7 @@
 
 
 class PeerTest(SilentCase):
-    """Hosts of a large fleet seldom probe each other; here they never do."""
+    """Hosts that never probe each other, as hosts of a large fleet seldom do."""
 
     PLAN = make_plan(
         {"zone-a": 3},
@@ -101,7 +102,7 @@
             self.network.links_by_id[host].silence_old()
 
     async def test_a_note_under_a_key_of_another_host(self):
-        """The note runs for long; the link to its sender goes silent meanwhile."""
+        """The link to the sending host becomes unresponsive while the note runs."""
         minter, other = self.hosts[:2]
         await self.note(other, "warm", await self.mint(minter))
         await self.set_app("desk-1", app.SLOW, slow_s=0.8)
--- a/test/proofs/test_staleness.py
+++ b/test/proofs/test_staleness.py
@@ -1,4 +1,4 @@
-"""No sample is older than its trainer's bound, wherever the version moves on."""
+"""No sample exceeds its trainer's staleness bound, whenever the version advances."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
         self.assertGreaterEqual(min(map(oldest_version, samples)), floor)
 
     async def test_the_version_moves_on_in_flight_and_in_the_queue(self):
-        # Two of eight slots stream at a time; the others queue.
+        # Two of eight slots stream concurrently; the others are queued.
         trainer = await self.start(bound=0, slots=1, hosts=(2, 1), token_ms=4.0)
         near, _ = self.engines
         await trainer.submit("zone-a-1", groups=2, samples=4, max_tokens=60)
@@ -50,7 +50,7 @@
         await trainer.publish("zone-a-1", 3)
         self.assert_fresh((await trainer.collect("zone-a-2")).values(), 2)
         await eventually(lambda: rows(4))
-        # Whoever loads the rows goes by the later round.
+        # A host that loads the rows uses the later round.
         holder, others = self.holder_of("s1")
         self.fleet.kill(holder)
         trainer.held.clear()
@@ -68,7 +68,7 @@
             )
             link.delay(700, "down")
             late = asyncio.create_task(trainer.pull(entry, keep=False))
-            # The holder's answer is on its way when the trainer publishes.
+            # The holder's reply is in flight when the trainer publishes.
             await asyncio.sleep(0.2)
             await trainer.publish(entry, trainer.version + 1)
             provoked = not late.done()
@@ -86,7 +86,7 @@
         await eventually(lambda: self.pull_samples(trainer))
         self.network.cut("zone-a")
         await trainer.publish("zone-b-1", 3)
-        # The zone cannot hear of it, but the trainer's own pull names it.
+        # The update cannot reach the zone, but the trainer's pull names the version.
         for host in ("zone-a-1", "zone-a-2"):
             answer = await trainer.pull(host)
             self.assertTrue(answer is None or not answer.samples, answer)
--- a/test/proofs/test_versions_named.py
+++ b/test/proofs/test_versions_named.py
@@ -1,4 +1,4 @@
-"""Each sample names the weight versions that made it, whatever its engines do."""
+"""Each sample names the weight versions that generated it, under engine faults too."""
 
 from test.proofs._steps import StepProof, engine_ports_of, versions_of
 
@@ -36,8 +36,8 @@
         near, far = self.engines
         await trainer.submit("zone-a-1", groups=1, samples=2, max_tokens=100)
         await self.wait_count(near, "tokens", 40)
-        # From here on the near engine makes tokens that nobody may use; the far
-        # one states no version from the first token on.
+        # From here on, tokens of the near engine may not be used; the far engine
+        # states no version from its first token on.
         for engine in self.engines:
             await self.set_engine(engine, state_version=False)
         await self.wait_count(far, "started", 1)
--- a/test/proofs/test_whole_answers.py
+++ b/test/proofs/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""A caller gets the whole answer to its own request, or an error."""
+"""A caller gets the complete response to its own request, or an error."""
 
 import asyncio
 import json
@@ -11,14 +11,14 @@
 from test.standins import app, engine
 
 STRAY = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
-# What follows an engine's own end mark: a line's end, a chunk's end, the last chunk.
+# Bytes after the engine's end-of-stream marker: line end, chunk end and last chunk.
 FRAMING_BYTES = len(b"\n\n\r\n0\r\n\r\n")
 CALLERS = 12
 ROUNDS = 4
 
 
 def texts(body):
-    """Return the texts of a streamed answer's events."""
+    """Return the texts of the events of a streamed response."""
     events = (json.loads(e[6:]) for e in body.split(b"\n\n") if e[:7] == b"data: {")
     return [event["choices"][0]["text"] for event in events]
 
@@ -27,9 +27,9 @@
     PLAN = make_plan({"zone-a": 1}, {"zone-a": 1}, {"zone-a": 1})
 
     async def cut_at_every_byte(self, upstream, ask, is_good, spare_bytes=0):
-        """Cut one answer after each of its bytes; none may look whole.
+        """Cut a response after each of its bytes; no cut response may appear complete.
 
-        :param spare_bytes: how many bytes may follow the answer's own end mark.
+        :param spare_bytes: number of bytes that may follow the end-of-stream marker.
         """
         link = self.network.links_by_id[upstream]
         before = link.bytes_by_direction[DOWN]
@@ -38,7 +38,7 @@
         size = link.bytes_by_direction[DOWN] - before
         self.assertGreater(size, len(whole.body) // 2)
         for n in range(size):
-            # A connection that is open has passed bytes already.
+            # An open connection has already transferred bytes.
             await self.cut_link(upstream)
             link.cut_after(n, DOWN)
             answer = await ask()
@@ -107,7 +107,7 @@
         self.assertNotIn(b"[DONE]", answer.body)
 
     async def test_the_daemons_own_answer_breaks_off_visibly(self):
-        """A caller of a daemon that dies sees no clean end."""
+        """A caller sees no clean end of a stream when its daemon dies."""
         await self.set_engine("lm-1", token_ms=50)
         started = asyncio.Event()
         loop = asyncio.get_running_loop()
@@ -131,7 +131,7 @@
             self.assertEqual(answer.json()["panel"], f"/panel/{name}?")
 
     async def test_late_answers_meet_no_other_request(self):
-        """Half of the callers give up early; their answers come all the same."""
+        """Half of the requests time out early; their responses still arrive."""
 
         async def caller(number):
             whole = 0
@@ -150,7 +150,7 @@
         self.assertGreaterEqual(whole, CALLERS * ROUNDS // 2)
 
     async def test_a_stray_answer_on_a_pooled_connection_is_not_taken(self):
-        """It comes while the connection is idle, or right behind an answer."""
+        """The stray bytes arrive on an idle connection or right after a response."""
         links = [self.network.links_by_id[name] for name in self.upstreams]
         for number in range(ROUNDS):
             await self.fetch(self.hosts[0], f"before-{number}")
@@ -171,13 +171,13 @@
 
 
 class SwappedPlacesTest(RequestCase):
-    """Two daemons come back with each other's addresses and ports."""
+    """Two daemons restart with each other's addresses and ports."""
 
     PLAN = make_plan({"zone-a": 3}, {"zone-a": 1})
     has_links = False
 
     async def swap(self, a, b):
-        """Kill two hosts, and start each in the other's place."""
+        """Kill two hosts and start each with the endpoint of the other."""
         fleet = self.fleet
         old = {host: fleet.endpoint_by_id[host] for host in (a, b)}
         for host in (a, b):
@@ -225,7 +225,7 @@
         return all([await self.run_count(name) == 1 for name in names])
 
     async def is_known(self, host):
-        """Tell whether each other host reaches one in its new place."""
+        """Return whether all hosts can use keys that a moved host minted."""
         answers = [
             await self.note(other, f"known-{other}", await self.mint(host))
             for other in self.hosts
