--- a/test/proofs/_steps.py
+++ b/test/proofs/_steps.py
@@ -1,4 +1,4 @@
-"""A small fleet for the steps' proofs, and a bare HTTP trainer that checks answers."""
+"""A small fleet for tests of steps, and a plain HTTP trainer that checks responses."""
 
 import base64
 import json
@@ -30,8 +30,8 @@
     """Return a plan of two zones with an engine each and one trainer.
 
     :param bound: the trainer's staleness bound.
-    :param hosts: how many daemons the zones have.
-    :param slots: what each engine runs at a time.
+    :param hosts: number of daemons in each zone.
+    :param slots: number of requests that each engine runs concurrently.
     :param engine: further options of the engines.
     """
     options = {"tagged": True, "token_ms": 5.0, **engine}
@@ -48,12 +48,12 @@
 
 
 class Trainer:
-    """A trainer without the client library, which holds every answer to the promises.
+    """A trainer without the client library that checks every response for violations.
 
     :param fleet: the :class:`~test.fleet.Fleet`.
-    :param step: its step's name.
+    :param step: the name of its step.
     :param bound: its staleness bound.
-    :param token: its account's token.
+    :param token: the token of its client account.
     """
 
     def __init__(self, fleet, step="s1", bound=1, token=TOKEN):
@@ -63,7 +63,7 @@
         self.version = 1
         self.group_by_index = {}
         self.held = {}
-        self.faults = []
+        self.violations = []
         self.status = None
         self._seen_by_slot = {}
         self._headers = {"Authorization": f"Bearer {token}"}
@@ -75,10 +75,10 @@
         return await http_post(url, data, self._headers, timeout_ms)
 
     async def submit(self, host, groups=2, samples=3, max_tokens=20, **fields):
-        """Submit the step until a host takes it."""
+        """Submit the step repeatedly until a host accepts it."""
         self.group_by_index = {
-            i: GroupBody(i, f"prompt {i} of {self.step}", samples, most, 100 * i)
-            for i, most in enumerate(_per_group(max_tokens, groups))
+            i: GroupBody(i, f"prompt {i} of {self.step}", samples, limit, 100 * i)
+            for i, limit in enumerate(_per_group(max_tokens, groups))
         }
         body = {
             "step": self.step,
@@ -91,13 +91,13 @@
         async def accepted():
             status, answer = await self.post(host, "/v1/steps", body, SUBMIT_TIMEOUT_MS)
             if status not in (202, 503, 504, None):
-                raise AssertionError(f"The step was refused: {status} {answer!r}")
+                raise AssertionError(f"The step was rejected: {status} {answer!r}")
             return status == 202
 
         await _common.eventually(accepted)
 
     async def publish(self, host, version):
-        """Move on to a new version and publish it until a host takes it."""
+        """Switch to a new version and publish it repeatedly until a host accepts it."""
         self.version = version
         body = {"model": MODEL, "version": version}
 
@@ -123,12 +123,12 @@
         version=None,
         wait_ms=PULL_WAIT_MS,
         timeout_ms=PULL_TIMEOUT_MS,
-        take=True,
+        keep=True,
     ):
-        """Pull once and check what comes; None when the host gave no answer.
+        """Pull once and check the response; return None when the pull fails.
 
-        :param held: the slots to name, all that it has when left out.
-        :param take: whether to keep what comes.
+        :param held: the slots to report as held; by default all that the trainer holds.
+        :param keep: whether to store the received samples.
         """
         held = frozenset(self.held if held is None else held)
         version = self.version if version is None else version
@@ -142,68 +142,75 @@
         answer = msgspec.json.decode(data, type=PullAnswer)
         slots = [sample.slot for sample in answer.samples]
         if len(set(slots)) < len(slots) or held & set(slots):
-            self.faults.append(f"Doubled in one answer: {slots}, held {held}.")
+            self.violations.append(
+                f"Duplicate slots in a response: {slots}, held {held}."
+            )
         if answer.complete and set(slots) | held != self.slots:
-            self.faults.append(f"Called complete with {slots} and {held}.")
+            self.violations.append(f"Reported complete with {slots}, held {held}.")
         for sample in answer.samples:
             self._check(sample, version)
-            if take:
-                self._take(sample)
+            if keep:
+                self._hold(sample)
         return answer
 
     async def collect(self, *hosts):
-        """Pull through hosts in turn until every slot is held."""
+        """Pull through the hosts in turn until every slot is held."""
         turn = 0
 
-        async def whole():
+        async def all_held():
             nonlocal turn
-            # A pull that names every slot would let the service forget the step.
+            # A pull that reports every slot as held lets the service delete the step.
             if set(self.held) == self.slots:
                 return True
             await self.pull(hosts[turn % len(hosts)])
             turn += 1
             return False
 
-        await _common.eventually(whole)
+        await _common.eventually(all_held)
         return dict(self.held)
 
-    def _take(self, sample):
-        # A trainer whose version moved on while the answer was under way looks at
-        # the versions that the sample names.
+    def _hold(self, sample):
+        # The version may have advanced while the response was in flight, so the
+        # trainer checks the versions that the sample names.
         if oldest_version(sample) >= self.version - self.bound:
             self.held.setdefault(sample.slot, sample)
 
     def _check(self, sample, version):
         oldest = oldest_version(sample)
         if oldest < version - self.bound:
-            self.faults.append(f"Stale for version {version}: {sample}.")
+            self.violations.append(f"Stale for version {version}: {sample}.")
         seen = self._seen_by_slot.get(sample.slot)
-        # Only what went stale may be replaced.
+        # Only a sample that has become stale may be replaced.
         is_other = seen is not None and seen.digest != sample.digest
         if is_other and oldest_version(seen) >= self.version - self.bound:
-            self.faults.append(f"Two samples for a slot: {seen} and {sample}.")
+            self.violations.append(f"Two samples for a slot: {seen} and {sample}.")
         self._seen_by_slot[sample.slot] = sample
-        self.faults += wrong_text(self.group_by_index[sample.slot.group], sample)
+        self.violations += find_output_errors(
+            self.group_by_index[sample.slot.group], sample
+        )
 
 
 def _per_group(max_tokens, groups):
     return [max_tokens] * groups if isinstance(max_tokens, int) else max_tokens
 
 
-def wrong_text(group, sample):
-    """Yield what is wrong with a sample's text, which tells what made each token."""
+def find_output_errors(group, sample):
+    """Yield the errors in the output of a sample.
+
+    Each token names its content, and the version and engine that generated it.
+    """
     index = 0
     for segment in sample.segments:
         words = segment.text.split()
         if len(words) != segment.tokens:
-            yield f"{segment.tokens} tokens stated, {len(words)} made: {sample}."
+            yield f"{segment.tokens} tokens stated, {len(words)} generated: {sample}."
         for word in words:
             token, version, _ = word.split(".")
             seed = group.seed + sample.slot.index
             if token != token_text(group.prompt, seed, index).strip():
-                yield f"Token {index} is not the next one: {sample}."
+                yield f"Token {index} is not the expected one: {sample}."
             if int(version) != segment.version:
-                yield f"Token {index} was made by version {version}: {sample}."
+                yield f"Token {index} was generated by version {version}: {sample}."
             index += 1
     if index != group.max_tokens:
         yield f"{index} of {group.max_tokens} tokens: {sample}."
@@ -219,14 +226,14 @@
     return min(versions_of(sample))
 
 
-def makers_of(sample):
-    """Return the port of the engine that made each of a sample's tokens."""
+def engine_ports_of(sample):
+    """Return, for each token of a sample, the port of the engine that generated it."""
     words = " ".join(segment.text for segment in sample.segments).split()
     return [int(word.split(".")[2].partition("-")[0]) for word in words]
 
 
-async def recorded(fleet, table=GROUPS_TABLE):
-    """Return the rows of a table as the platform has them, also in an outage."""
+async def recorded_rows(fleet, table=GROUPS_TABLE):
+    """Return the stored rows of a platform table; works during an outage too."""
     _, body = await http_get(f"{fleet.platform_control.url}/tables/{table}?prefix=")
     return json.loads(body or b'{"rows": []}')["rows"]
 
@@ -234,7 +241,7 @@
 async def recorded_samples(fleet):
     """Return the samples that the platform has recorded, by slot."""
     samples = {}
-    for row in await recorded(fleet):
+    for row in await recorded_rows(fleet):
         value = base64.b64decode(row["value"])
         key = msgspec.msgpack.decode(value, type=GroupRow).object_key
         path = urllib.parse.quote(key, safe="")
@@ -245,10 +252,10 @@
 
 
 class StepProof(unittest.IsolatedAsyncioTestCase):
-    """Starts a fleet behind a network and ends it."""
+    """Starts and closes a fleet behind fault-injecting links."""
 
     async def command(self, text):
-        """Give an operator's command and see it accepted."""
+        """Run an operator command and check that it is accepted."""
         code, output = await self.fleet.ask(text)
         self.assertEqual(code, 0, output)
 
@@ -259,18 +266,18 @@
         await self.fleet.start()
         self.engines = self.fleet.upstreams
         trainer = Trainer(self.fleet, bound=plan.get("bound", 1))
-        self.addCleanup(lambda: self.assertEqual(trainer.faults, []))
+        self.addCleanup(lambda: self.assertEqual(trainer.violations, []))
         return trainer
 
     async def assert_same_for_a_restarted_trainer(self, trainer, *hosts):
-        """Check that sets lost whole or in part are filled with the same samples."""
+        """Check that a trainer that lost samples receives the same ones again."""
         got = dict(trainer.held)
         for kept in (0, 1, len(got) - 1):
             trainer.held = dict(sorted(got.items())[:kept])
             self.assertEqual(await trainer.collect(*hosts), got)
 
     def holder_of(self, step):
-        """Return the host that is to hold a step and the others that live."""
+        """Return the expected holder of a step and the other live hosts."""
         hosts = [h for h in self.fleet.hosts if self.fleet.process_by_id[h.id].alive()]
         near = [h.id for h in hosts if h.zone == "zone-a"]
         holder = util.rendezvous(f"step/trainer/{step}", near)
@@ -279,16 +286,16 @@
     async def counts(self, engine):
         return await self.fleet.get_json(engine, "/control/counts") or {}
 
-    async def until(self, engine, name, least):
-        """Wait until an engine has counted so much."""
+    async def wait_count(self, engine, name, least):
+        """Wait until a counter of an engine reaches a value."""
 
         async def reached():
             return (await self.counts(engine)).get(name, 0) >= least
 
         await _common.eventually(reached)
 
-    async def ordered(self, engine, version):
-        """Wait until an engine has been ordered to load a version."""
+    async def wait_ordered(self, engine, version):
+        """Wait until an engine has received a load order for a version."""
 
         async def reached():
             orders = (await self.counts(engine)).get("orders", ())
@@ -296,7 +303,7 @@
 
         await _common.eventually(reached)
 
-    async def runs(self, engine, version):
+    async def wait_engine_version(self, engine, version):
         """Wait until an engine runs a version."""
 
         async def reached():
@@ -304,7 +311,7 @@
 
         await _common.eventually(reached)
 
-    async def set(self, engine, **options):
+    async def set_engine(self, engine, **options):
         await self.fleet.control(engine, "set", **options)
 
     async def platform(self, name, **body):
--- a/test/proofs/test_bad_input.py
+++ b/test/proofs/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error and a counter, and harms no daemon."""
+"""Bad input is rejected with a clear error, is counted and crashes no daemon."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from test.fleet import AccountPlan, Fleet, Plan, PoolPlan, http_get
 
 SEED = 20
-MANY = 40
+BAD_INPUTS = 40
 TOKEN = "desk-token"
 PLAN = Plan(
     hosts_by_zone={"zone-a": 1},
@@ -39,7 +39,7 @@
         self.host = self.fleet.hosts[0]
 
     async def send(self, data):
-        """Send bytes as they are and return what comes back."""
+        """Send raw bytes and return the response bytes."""
         reader, writer = await asyncio.open_connection(
             self.host.address, self.host.port
         )
@@ -53,7 +53,7 @@
             writer.close()
 
     async def ask(self, path, method="GET", token=TOKEN, headers="", body=b""):
-        """Send one request and return its status and its decoded body."""
+        """Send one request and return the status and the decoded body."""
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
             f"Authorization: Bearer {token}\r\nContent-Length: {len(body)}\r\n"
@@ -99,10 +99,10 @@
     async def test_garbage_is_counted_and_harms_nothing(self):
         rng = random.Random(SEED)
         before = await self.bad_input_count()
-        for number in range(MANY):
+        for number in range(BAD_INPUTS):
             garbage = rng.randbytes(rng.randrange(1, 300))
             start = b"POST /v1/steps HTTP/1.1\r\n" if number % 2 else b""
-            # A byte that no head may have ends each of them.
+            # The NUL byte is invalid in a request head, so each input is malformed.
             await self.send(start + garbage + b"\0\r\n\r\n")
         await self.send(b"GET / HTTP/1.1\r\nX: " + b"y" * 10_000 + b"\r\n\r\n")
         self.assertGreater(await self.bad_input_count(), before)
@@ -119,7 +119,7 @@
         socket.connect(f"tcp://{self.host.address}:{self.host.peer_port}")
         try:
             before = await self.bad_input_count()
-            for _ in range(MANY):
+            for _ in range(BAD_INPUTS):
                 frames = [rng.randbytes(rng.randrange(40)) for _ in range(6)]
                 await socket.send_multipart(frames[: rng.randrange(1, 7)])
 
--- a/test/proofs/test_configuration_answers.py
+++ b/test/proofs/test_configuration_answers.py
@@ -1,4 +1,4 @@
-"""Proofs of the answers to a change: accepted, refused or unknown, and no other."""
+"""A configuration change is reported as accepted, refused or unknown, correctly."""
 
 import asyncio
 import pathlib
@@ -23,7 +23,7 @@
 
 class AnswerTest(FleetCase):
     async def settled(self, host_ids):
-        """Ask for the version as the operator is told to, and see all adopt it."""
+        """Wait until SHOW VERSION reports the platform's version on all hosts."""
 
         async def agreed():
             rows = [r for h in host_ids for r in await self.show(h, "SHOW VERSION")]
@@ -34,8 +34,8 @@
         await _common.eventually(agreed)
         return await self.head_version()
 
-    async def until_head(self, version):
-        """Wait until the platform has a version, whoever may hear of it."""
+    async def wait_head_version(self, version):
+        """Wait until the platform has stored a version, even if its reply is lost."""
 
         async def has_it():
             return await self.head_version() >= version
@@ -48,7 +48,7 @@
         self.platform_link.delay(DELAY_MS // 2)
         answers = await asyncio.gather(
             *(
-                self.ask_directly(host_id, f"ALTER ACCOUNT desk SHARE {share}", base)
+                self.post_command(host_id, f"ALTER ACCOUNT desk SHARE {share}", base)
                 for share, host_id in enumerate(self.ids, 2)
             )
         )
@@ -60,7 +60,7 @@
         for body in lost:
             self.assertEqual((body["outcome"], body["version"]), ("refused", base + 1))
         self.assertEqual(await self.settled(self.ids), base + 1)
-        # The command line tells the same, with its exit code.
+        # The command line reports the same outcome and sets its exit code.
         answer = await self.change(f"ALTER ACCOUNT desk SHARE 9 AT VERSION {base}")
         self.assertEqual(answer.code, REFUSED)
         self.assertIn(f"refused: {answer_text(base + 1)}", answer.text)
@@ -70,7 +70,7 @@
         base = await self.head_version()
         self.platform_link.delay(DELAY_MS, DOWN)
         asked = self.begin(self.change("ALTER ACCOUNT desk SHARE 2"))
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
         self.platform_link.cut()
         self.platform_link.delay(0)
         answer = await asked
@@ -83,7 +83,7 @@
         base = await self.head_version()
         self.platform_link.delay(DELAY_MS, DOWN)
         asked = self.begin(self.change("ALTER ACCOUNT desk SHARE 2"))
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
         await self.platform_link.refuse()
         answer = await asked
         self.assertEqual(answer.code, UNKNOWN, answer.text)
@@ -115,7 +115,7 @@
                 await self.outage("")
                 self.assertEqual(answer.code, UNKNOWN, answer.text)
                 self.assertIn(UNKNOWN_TEXT, answer.text)
-                # A write that was on its way may still land, and then holds.
+                # A write in flight may still be applied, and is then permanent.
                 version = await self.settled(others)
                 self.assertIn(version, (base, base + 1))
                 if point == self.at_the_write:
@@ -125,7 +125,7 @@
 
     async def at_the_read(self, base):
         await self.outage("hang")
-        await _common.eventually(lambda: _is_asked(self.fleet.hosts[0]))
+        await _common.eventually(lambda: _has_caller(self.fleet.hosts[0]))
 
     async def at_the_document(self, base):
         before = (await self.platform_stats()).get("writes", 0)
@@ -138,11 +138,11 @@
 
     async def at_the_write(self, base):
         self.platform_link.delay(DELAY_MS, DOWN)
-        await self.until_head(base + 1)
+        await self.wait_head_version(base + 1)
 
 
-def _is_asked(host):
-    """Tell whether a caller is connected to a host, as the kernel's table says."""
+def _has_caller(host):
+    """Return whether /proc/net/tcp lists an established connection to a host."""
     address = int.from_bytes(socket.inet_aton(host.address), "little")
     place = f"{address:08X}:{host.port:04X}"
     lines = pathlib.Path("/proc/net/tcp").read_text().splitlines()[1:]
