--- a/test/standins/__init__.py
+++ b/test/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for outside systems, each run as a process of its own."""
+"""Stand-ins for external systems; each runs as a separate process."""
--- a/test/standins/app.py
+++ b/test/standins/app.py
@@ -1,7 +1,7 @@
-"""A plain application service that counts what it ran.
+"""An application service that counts the requests it runs.
 
-It answers ``GET /panel/...`` and takes ``POST /notes``. ``POST /control/mode`` sets
-a fault by name, and ``GET /control/counts`` tells what ran.
+It serves ``GET /panel/...`` and ``POST /notes``. ``POST /control/mode`` injects a
+fault by name, and ``GET /control/counts`` returns the request counts.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class App:
-    """The service's state; calling it handles a request."""
+    """Request handler that holds the service's state."""
 
     def __init__(self, options):
         self.name = options.get("name", "app")
@@ -84,7 +84,7 @@
 
 
 def make_server(**options):
-    """Return the service and a server for it on a free port, for use in a test."""
+    """Return the service and a server for it, by default on a free port."""
     app = App(options)
     return app, Server(app, "127.0.0.1", options.get("port", 0))
 
--- a/test/standins/engine.py
+++ b/test/standins/engine.py
@@ -1,10 +1,10 @@
-"""A model engine: continuous batching, a prefix cache, weight versions, faults.
+"""Simulates a model engine: continuous batching, prefix cache, weights, faults.
 
-The text depends on the prompt, the seed and the token's index alone, so that a
-resumed stream can be checked. A ``tagged`` engine also writes into each token which
-weight version, engine and stream made it, so that the text is its own witness and no
-two streams give the same one. Control, by ``POST /control/set``: any option of
-:class:`Options`. ``GET /control/counts`` tells what ran.
+The output depends only on the prompt, the seed and the token's index, so that tests
+can check a resumed stream. A ``tagged`` engine also writes into each token the weight
+version, engine and stream that generated it, so that the output shows its origin and
+no two streams produce the same one. ``POST /control/set`` changes any option of
+:class:`Options`, and ``GET /control/counts`` returns the engine's counters.
 """
 
 import asyncio
@@ -23,12 +23,13 @@
 
 @dataclasses.dataclass
 class Options:
-    """What the engine is like.
+    """Performance characteristics and injected faults of the engine.
 
-    ``slots`` streams run at full speed; each one more slows all down. Tokens of
-    the prompt that the prefix cache holds cost no time. With ``mean_tokens`` a text
-    ends by itself; ``prompt_spread`` is how far prompts differ in their mean, in
-    powers of two. With ``swap_pauses`` streams stand still while weights load.
+    Every running stream slows all streams by ``batch_slowdown``; each one above
+    ``slots`` slows them further by ``overload_slowdown``. Prompt tokens in the prefix
+    cache take no time. With ``mean_tokens`` an output may stop before ``max_tokens``;
+    ``prompt_spread`` sets how far the mean length varies between prompts, in powers
+    of two. With ``swap_pauses`` streams pause while weights load.
     """
 
     model: str = "lm"
@@ -64,22 +65,22 @@
 
 
 def expected_text(prompt, seed, tokens):
-    """Return the whole text of a completion."""
+    """Return the complete output of a completion."""
     return "".join(token_text(prompt, seed, i) for i in range(tokens))
 
 
 def natural_length(prompt, seed, mean_tokens, prompt_spread=0):
-    """Return a heavy-tailed length, the same for equal prompts and seeds."""
+    """Return a heavy-tailed output length, deterministic for a prompt and seed."""
     of_prompt = hashlib.sha256(f"{prompt}/spread".encode()).digest()
     mean_tokens *= 2 ** (prompt_spread * (of_prompt[0] / 127.5 - 1))
     digest = hashlib.sha256(f"{prompt}/{seed}/length".encode()).digest()
     uniform = (int.from_bytes(digest[:6], "big") + 1) / (1 << 48)
-    # A Pareto tail of exponent 2 has its mean at twice its least value.
+    # The mean of a Pareto distribution with exponent 2 is twice its minimum.
     return max(STOP_AFTER_MIN, round(mean_tokens / 2 / math.sqrt(uniform)))
 
 
 class PrefixCache:
-    """Prompts that were worked on, the oldest dropped first."""
+    """Cache of processed prompts; evicts the oldest first."""
 
     def __init__(self, max_tokens):
         self.max_tokens = max_tokens
@@ -87,7 +88,7 @@
         self.hits = 0
 
     def missing(self, words):
-        """Return how many of a prompt's tokens are not cached, and cache it."""
+        """Return the number of uncached tokens of a prompt, and cache the prompt."""
         best = max(
             (_common(words, w) for w in self.words_by_prompt.values()), default=0
         )
@@ -108,7 +109,7 @@
 
 
 class Engine:
-    """The engine's state; calling it handles a request."""
+    """Request handler that holds the engine's state."""
 
     def __init__(self, options=None, **kwargs):
         names = {field.name for field in dataclasses.fields(Options)}
@@ -153,7 +154,7 @@
         return json_response({}, 404)
 
     def counts(self):
-        """Return what ran so far."""
+        """Return the engine's counters and the load orders received so far."""
         return {
             "started": self.started,
             "refused": self.refused,
@@ -278,7 +279,7 @@
 
 
 def make_server(**options):
-    """Return the engine and a server for it on a free port, for use in a test."""
+    """Return the engine and a server for it, by default on a free port."""
     engine = Engine(options)
     return engine, Server(engine, "127.0.0.1", options.get("port", 0))
 
--- a/test/standins/platform.py
+++ b/test/standins/platform.py
@@ -1,12 +1,12 @@
-"""The platform's stand-in: tables, objects, host list and weight store.
+"""Stand-in for the platform: tables, objects, host list and weight store.
 
-It runs as ``python -m test.standins.platform '{"address": ..., "port": ...}'``
-with, if wanted, ``control_port``, ``hosts`` (a list of entries), ``host_lag_ms``,
+It runs as ``python -m test.standins.platform '{"address": ..., "port": ...}'``.
+Optional keys are ``control_port``, ``hosts`` (a list of entries), ``host_lag_ms``,
 ``weights`` (``{model: [version, ...]}``) and ``weight_reads_per_s``.
 
-Tests drive it by ``POST /control/...`` on its port, and on ``control_port``, which
+Tests control it by ``POST /control/...`` on its port and on ``control_port``, which
 stays up in an outage of mode ``refuse``. Without a ``control_port`` such an outage
-drops each request unanswered instead.
+closes the connection of each request without a response instead.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class Row:
-    """One row; a deleted one keeps its version, so that none comes twice."""
+    """A table row; a deleted row keeps its version, so that no version is reused."""
 
     __slots__ = ("version", "value")
 
@@ -38,7 +38,7 @@
 
 
 class Platform:
-    """The platform's state and its routes."""
+    """The platform's state and request handlers."""
 
     __slots__ = (
         "rows_by_table",
@@ -80,7 +80,7 @@
         self._outage_over = asyncio.Event()
 
     async def handle(self, request):
-        """Answer one request."""
+        """Return the response to a request."""
         parts = [unquote(part) for part in request.path.split("/")[1:]]
         if parts[0] == "control":
             return await self._control(parts[1], request)
@@ -216,7 +216,7 @@
         return json_response({})
 
     def drop_hanging(self):
-        """Drop the requests that hang in an outage."""
+        """Close the connections of requests that an outage keeps waiting."""
         self._outage_over.set()
         self._outage_over = asyncio.Event()
 
@@ -233,7 +233,7 @@
 
 
 class PlatformServers:
-    """The platform's data port and, if there is one, its control port."""
+    """The servers on the platform's data port and optional control port."""
 
     __slots__ = ("platform", "data", "control")
 
@@ -248,13 +248,13 @@
             self.control = Server(handle, options["address"], port)
 
     async def start(self):
-        """Start to listen."""
+        """Start listening."""
         await self.data.start()
         if self.control:
             await self.control.start()
 
     async def close(self):
-        """Stop listening and drop every connection."""
+        """Stop listening and abort all connections."""
         self.platform.drop_hanging()
         await self.data.close()
         if self.control:
@@ -262,7 +262,7 @@
 
 
 async def run(options):
-    """Serve for good, and say on standard output when ready."""
+    """Serve until killed; print ``ready`` and the port once listening."""
     servers = PlatformServers(options)
     await servers.start()
     print(f"ready {servers.data.port}", flush=True)
--- a/test/standins/server.py
+++ b/test/standins/server.py
@@ -1,7 +1,7 @@
 """A small HTTP/1.1 server for stand-ins, on asyncio streams and h11.
 
-Unlike a real server it can misbehave on request: a handler may raise
-:class:`Drop` to close with no answer.
+It can inject faults: a handler may raise :class:`Drop` to close the connection
+without a response.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 
 
 class Drop(Exception):
-    """Close the connection at once, with no further answer."""
+    """Raised to close the connection immediately, without the rest of a response."""
 
 
 class Request:
-    """One request, read whole."""
+    """A request with its complete body."""
 
     __slots__ = ("method", "path", "query", "headers", "body")
 
@@ -34,7 +34,7 @@
 
 
 class Response:
-    """An answer: bytes, or an async iterator of byte strings sent in chunks."""
+    """A response whose body is bytes, or an async iterator of bytes sent in chunks."""
 
     __slots__ = ("status", "headers", "body")
 
@@ -45,12 +45,12 @@
 
 
 def json_response(value, status=200, headers=()):
-    """Return a JSON answer."""
+    """Return a response with a JSON body."""
     return Response(status, json.dumps(value).encode(), headers)
 
 
 class Server:
-    """Serve a handler, ``async (Request) -> Response``, on one address."""
+    """HTTP server for a handler, ``async (Request) -> Response``, on one address."""
 
     __slots__ = ("handler", "address", "port", "_server", "_writers", "_tasks")
 
@@ -63,7 +63,7 @@
         self._tasks = set()
 
     async def start(self):
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._serve, self.address, self.port, backlog=1024
         )
@@ -71,21 +71,21 @@
             self.port = self._server.sockets[0].getsockname()[1]
 
     async def close(self):
-        """Stop listening and drop every connection."""
+        """Stop listening and abort all connections."""
         self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def run(self):
-        """Start, say so on standard output and serve for good."""
+        """Start, print ``ready`` and the port, and serve until cancelled."""
         await self.start()
         print(f"ready {self.port}", flush=True)
         await self._server.serve_forever()
 
     async def _serve(self, reader, writer):
         self._writers.add(writer)
-        # A handler that stands still for good is referred to by nothing else, and
-        # would be collected with its connection.
+        # Nothing else refers to the task of a handler that never returns; it would be
+        # garbage-collected together with its connection.
         task = asyncio.current_task()
         self._tasks.add(task)
         connection = h11.Connection(h11.SERVER)
@@ -127,7 +127,7 @@
             writer.write(connection.send(h11.Data(data=chunk)))
             await writer.drain()
     finally:
-        # A generator left suspended would count as running until collected.
+        # A suspended generator would count as running until it is garbage-collected.
         if hasattr(body, "aclose"):
             await body.aclose()
 
@@ -152,9 +152,9 @@
 
 
 def main(make_handler):
-    """Run a stand-in whose settings are a JSON object in the first argument.
+    """Run a stand-in with the options in the first argument, a JSON object.
 
-    :param make_handler: gives the handler for the decoded settings, which hold
+    :param make_handler: returns the handler for the decoded options, which include
         at least ``address`` and ``port``.
     """
     options = json.loads(sys.argv[1])
--- a/test/standins/users_server.py
+++ b/test/standins/users_server.py
@@ -1,4 +1,4 @@
-"""A server of the users' platform: an application, or an engine with weights."""
+"""Stand-in for a server of the users' platform: an application or an engine."""
 
 import asyncio
 import json
@@ -10,21 +10,21 @@
 
 
 class UsersServer:
-    """Answer requests, run items and take orders as the users' pages say.
+    """Serves requests, runs items and accepts load orders per the users' pages.
 
-    :param name: its id.
-    :param service: its service.
+    :param name: the server's id.
+    :param service: the service that the server belongs to.
     :param models: the weight version of each model; empty for an application.
-    :param events: how many events each item has.
-    :ivar runs: the ids of the requests that it began to run.
-    :ivar seen: every request that reached it, as ``(path, headers, body)``.
-    :ivar refusing: whether it answers that it did not run requests.
-    :ivar cut_after: cut streams after so many events, or None.
-    :ivar failing: the status that items are answered with instead, or None.
-    :ivar orders: the orders that it accepted.
-    :ivar ordered_s: when it accepted them, by the steady clock.
-    :ivar lose: answer nothing after running a request.
-    :ivar delay_s: how long it works on a request.
+    :param events: the number of events of each item.
+    :ivar runs: the ids of the requests that the server started to run.
+    :ivar seen: every request received, as ``(path, headers, body)``.
+    :ivar refusing: whether requests are rejected with 503 and ``not-run``.
+    :ivar cut_after: the number of events after which streams are cut, or None.
+    :ivar failing: the status returned for every request that runs, or None.
+    :ivar orders: the accepted load orders.
+    :ivar ordered_s: the times of acceptance, by the monotonic clock.
+    :ivar lose: whether connections are closed without a response after a run.
+    :ivar delay_s: how long an application request takes.
     """
 
     def __init__(self, name, service, models=None, events=4):
@@ -48,24 +48,24 @@
 
     @property
     def port(self):
-        """The port that it listens on."""
+        """The port that the server listens on."""
         return self._server.port
 
     async def start(self, port=0):
-        """Start to listen.
+        """Start listening.
 
-        :param port: the port; a free one when left out.
+        :param port: the port; a free one by default.
         """
         self._server = Server(self.handle, "127.0.0.1", port)
         await self._server.start()
 
     async def close(self):
-        """Stop listening and drop every connection."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             await self._server.close()
 
     def entry(self, state="ready", **fields):
-        """Return what it writes into the list of servers."""
+        """Return a new entry for the list of servers."""
         self.sequence += 1
         models = [
             {"name": name, "version": version, "adapters": []}
@@ -87,7 +87,7 @@
         }
 
     async def handle(self, request):
-        """Answer one request."""
+        """Return the response to a request."""
         self.seen.append((request.path, request.headers, request.body))
         expected = request.headers.get("expect-instance")
         if expected not in (None, self.name):
@@ -147,10 +147,10 @@
 
 
 def event_text(request_id, number):
-    """Return the data of an item's event."""
+    """Return the data of one event of an item."""
     return json.dumps({"of": request_id, "number": number})
 
 
 def whole_text(request_id, events=4):
-    """Return the whole text of an item."""
+    """Return the complete output of an item."""
     return "\n".join(event_text(request_id, number) for number in range(events))
--- a/test/standins/users_store.py
+++ b/test/standins/users_store.py
@@ -1,4 +1,4 @@
-"""The users' metadata store, as its pages describe it, in memory."""
+"""In-memory stand-in for the users' metadata store, per the users' pages."""
 
 import asyncio
 import base64
@@ -11,23 +11,25 @@
 PAGE_ROWS = 500
 TX_MS = 5
 LATE_MS = 300
-# A part that has so much to do already turns transactions away.
+# A part whose backlog exceeds this rejects transactions.
 MOST_WAITING_MS = 1000
 
 
 class UsersStore:
-    """Rows with one counter of versions, feeds with a history, and objects.
-
-    :ivar object_ms: how long a call for an object takes.
-    :ivar cut: the names of the gates that lead nowhere.
-    :ivar turned_away: the names of the gates that answer 503.
-    :ivar tx_ms: how long a transaction takes; a part makes one after another.
-    :ivar read_ms: how long a read takes.
-    :ivar refused: how many transactions were turned away.
-    :ivar silent_parts: a function that tells whether a part gives no answers.
-    :ivar mode: ``""`` to serve, ``busy`` to answer 503, ``reset`` to close.
-    :ivar lost_answers: how many of the next writes are made and not answered.
-    :ivar late_writes: how many of the next writes are made late and not answered.
+    """Rows with one version counter, change feeds with a history, and objects.
+
+    :ivar object_ms: the latency of an object call.
+    :ivar cut: the names of the gates that are partitioned from the store.
+    :ivar turned_away: the names of the gates that reject calls with 503.
+    :ivar tx_ms: the duration of a transaction; a part runs one at a time.
+    :ivar read_ms: the latency of a read.
+    :ivar refused: the number of transactions rejected with 429.
+    :ivar silent_parts: a function that returns whether a part is unresponsive.
+    :ivar mode: ``""`` to serve, ``busy`` to reject calls with 503,
+        ``reset`` to close connections.
+    :ivar lost_answers: how many of the next writes are applied without a response.
+    :ivar late_writes: how many of the next writes are applied only after a delay,
+        without a response.
     """
 
     def __init__(self):
@@ -55,15 +57,15 @@
 
     @property
     def port(self):
-        """The port that it listens on."""
+        """The port that the store listens on."""
         return self._server.port
 
     async def start(self):
-        """Start to listen."""
+        """Start listening."""
         await self._server.start()
 
     async def gate(self, name):
-        """Listen on a further port, which leads nowhere while its name is cut."""
+        """Listen on another port; its calls hang while the name is in ``cut``."""
 
         async def pass_on(request):
             if name in self.turned_away:
@@ -81,7 +83,7 @@
         return server.port
 
     async def close(self):
-        """Stop listening and drop every connection."""
+        """Stop listening and abort all connections."""
         for server in self._gates:
             await server.close()
         for task in self._late:
@@ -91,7 +93,7 @@
     def put(self, table, key, value, part=""):
         """Write a row as the operator or a server would.
 
-        :param value: JSON data, or bytes that are written as they are.
+        :param value: JSON data, or bytes that are written unchanged.
         """
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.version += 1
@@ -108,13 +110,13 @@
         return json.loads(base64.b64decode(row["value"])) if row else None
 
     def forget_history(self):
-        """Answer 410 to feeds that ask for anything before now."""
+        """Drop the history; reply 410 to feeds that start before this point."""
         self.forgotten = self.version
         self.history.clear()
         self._wake()
 
     async def handle(self, request):
-        """Answer one call."""
+        """Return the response to a call."""
         self.calls.append((request.method, request.path, request.query))
         if self.mode == "busy":
             return Response(503)
@@ -122,7 +124,7 @@
             raise Drop
         query = {name: v[-1] for name, v in parse_qs(request.query).items()}
         kind, _, name = request.path[1:].partition("/")
-        # A feed and a list of parts are of no part.
+        # Feeds and part lists do not belong to a part.
         parts = {query["part"]} if "part" in query else set()
         if kind == "rows-tx":
             body = request.json()
@@ -159,7 +161,7 @@
         return Response(404)
 
     async def _take_turn(self, part):
-        """Wait until a part has made what came before; tell whether it takes more."""
+        """Wait for a part's earlier transactions; return False if its queue is full."""
         now = time.monotonic()
         free = max(now, self._free_by_part.get(part, now))
         if (free - now) * 1000 > MOST_WAITING_MS:
