--- a/test/bench/__init__.py
+++ b/test/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of what a daemon costs; ``python -m test.slopes`` runs them."""
+"""Benchmarks of a daemon's resource costs; run by ``python -m test.slopes``."""
--- a/test/bench/base.py
+++ b/test/bench/base.py
@@ -1,4 +1,4 @@
-"""Print a process's resident memory as one group of modules after another loads."""
+"""Print the resident memory of a process after each group of modules is imported."""
 
 import importlib
 
--- a/test/bench/caller.py
+++ b/test/bench/caller.py
@@ -1,8 +1,8 @@
-"""A caller in a process of its own; prints what it measured as JSON.
+"""Load generator in a separate process; prints its measurements as JSON.
 
 ``python -m test.bench.caller KIND ADDRESS PORT CALLERS SECONDS TOKENS`` with the
-kind ``fetch`` or ``stream`` keeps some calls going at once for a time. Times are
-microseconds from the sending of a call.
+kind ``fetch`` or ``stream`` runs CALLERS concurrent calls for SECONDS. Times are
+microseconds since the start of a call.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 
 
 class Caller:
-    """Counts and times of calls.
+    """Runs calls and records their counts and latencies.
 
     :param kind: ``fetch`` or ``stream``.
-    :param place: the address and port that are called.
-    :param tokens: how many tokens a stream has.
+    :param place: the address and port to call.
+    :param tokens: the number of tokens of a stream.
     """
 
     def __init__(self, kind, place, tokens):
@@ -42,7 +42,7 @@
         self._http = HttpClient(clock=Clock(), limits=_common.make_settings().limits)
 
     async def run(self, callers, seconds):
-        """Keep some calls going until the time is over."""
+        """Run concurrent callers for some seconds."""
         end = time.monotonic() + seconds
         await asyncio.gather(*(self._repeat(i, end) for i in range(callers)))
         await self._http.close()
@@ -77,7 +77,7 @@
         self.failures += not is_whole
 
     def report(self):
-        """Return what was measured, for JSON."""
+        """Return the measurements as a JSON-serializable dict."""
         percentiles = {
             f"{name}_{p}": histogram.get_value_at_percentile(p)
             for name, histogram in (("first", self.first), ("whole", self.whole))
@@ -92,7 +92,7 @@
 
 
 def main(kind, address, port, callers, seconds, tokens):
-    """Call, and print the report."""
+    """Run the callers and print the report."""
     caller = Caller(kind, (address, int(port)), int(tokens))
     asyncio.run(caller.run(int(callers), float(seconds)))
     print(json.dumps(caller.report()))
--- a/test/bench/control.py
+++ b/test/bench/control.py
@@ -1,4 +1,4 @@
-"""What single control messages and reads of the platform cost."""
+"""Measure the cost of single control messages and of reads from the platform."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
 
 
 def record(i=0):
-    """Return a host's record as it travels."""
+    """Return a host record as in a membership message."""
     return HostRecord(
         f"szeged-a-{i}", "szeged-a", "hu-south", "10.1.2.3", 8080, 9090, 1 << 40,
         HostState.ALIVE,
@@ -55,8 +55,8 @@
     held = HeldGrant(grant, "lm-pool-1", "trainer", 500)
     targets = tuple(f"szeged-a-{i}" for i in range(43))
     return (
-        ("probe, no news", Probe(record()), ProbeAnswer(record())),
-        ("probe, 6 news", Probe(record(), news), ProbeAnswer(record(), news)),
+        ("probe, no updates", Probe(record()), ProbeAnswer(record())),
+        ("probe, 6 updates", Probe(record(), news), ProbeAnswer(record(), news)),
         (
             "acquire",
             Acquire(grant, "lm-pool-1", "trainer", "trainer", 1, 500, 9000, "0" * 24),
@@ -71,7 +71,7 @@
 
 
 class _Links:
-    """Two hosts' links in one process, so that costs hold for both ends."""
+    """The peer links of two hosts in one process; CPU time covers both ends."""
 
     def __init__(self):
         peer = _common.make_settings(PEER_ID)
@@ -132,7 +132,7 @@
 
 
 def listed(count):
-    """Return the platform's list with some upstreams."""
+    """Return entries of the platform's host list, all of them upstreams."""
     return [
         {
             "id": f"lm-pool-{i}",
@@ -192,12 +192,12 @@
 
 async def _run():
     rows = [row async for row in _peer_rows()]
-    columns = ("message", "body bytes", "bytes with frames and answer", "cpu us")
+    columns = ("message", "body bytes", "bytes with frames and reply", "cpu us")
     show("Messages between hosts: both ends together, with CURVE", columns, rows)
     rows = [row async for row in _read_rows()]
     show("Reads of the platform, one end", ("read", "bytes", "cpu us"), rows)
 
 
 def run():
-    """Print the cost of each message and read."""
+    """Print the size and CPU time of each message and read."""
     asyncio.run(_run())
--- a/test/bench/documents.py
+++ b/test/bench/documents.py
@@ -1,4 +1,4 @@
-"""The configuration's cost as a function of its size."""
+"""Measure the cost of a configuration document by its size."""
 
 import time
 import tracemalloc
@@ -26,8 +26,8 @@
 def make(upstreams, accounts):
     """Return a configuration.
 
-    :param upstreams: how many upstreams it has.
-    :param accounts: how many accounts.
+    :param upstreams: the number of upstreams.
+    :param accounts: the number of client accounts.
     """
     pools = [Pool(f"pool-{i}", UpstreamKind.ENGINE, f"model-{i}") for i in range(POOLS)]
     names = tuple(pool.name for pool in pools)
@@ -51,7 +51,7 @@
 
 
 def cpu_ms(function):
-    """Return the processor time of one call, in milliseconds."""
+    """Return the mean CPU time of one call, in milliseconds."""
     function()
     started = time.process_time()
     for _ in range(REPEATS):
@@ -60,7 +60,7 @@
 
 
 def kept_bytes(make_object):
-    """Return the memory that an object keeps, in bytes."""
+    """Return the memory that an object retains, in bytes."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     kept = make_object()
@@ -87,13 +87,13 @@
 
 
 def run():
-    """Print the cost at each size."""
+    """Print the cost of each document size."""
     rows = [_row(*size) for size in SIZES]
-    columns = ("upstreams", "accounts", "KiB", "B/s at 3,400 a day")
-    columns += ("encode ms", "adopt ms", "kept KiB")
-    show("One configuration document, per host that adopts it", columns, rows)
+    columns = ("upstreams", "accounts", "KiB", "B/s at 3,400 changes a day")
+    columns += ("encode ms", "apply ms", "retained KiB")
+    show("One configuration document, per host that applies it", columns, rows)
     few = [row for row in rows if row[1] <= rows[1][1]]
-    print(f"  slope: {slope((r[0], r[6]) for r in few):.3g} KiB kept an upstream")
+    print(f"  slope: {slope((r[0], r[6]) for r in few):.3g} KiB retained per upstream")
     big, small = rows[3], rows[2]
     added = big[1] - small[1]
-    print(f"  slope: {(big[6] - small[6]) / added:.3g} KiB kept an account")
+    print(f"  slope: {(big[6] - small[6]) / added:.3g} KiB retained per account")
--- a/test/bench/fleets.py
+++ b/test/bench/fleets.py
@@ -1,4 +1,4 @@
-"""What daemons spend for control, in fleets of several sizes, idle and busy."""
+"""Measure the control overhead of daemons, idle and busy, by fleet size."""
 
 import asyncio
 import contextlib
@@ -23,9 +23,9 @@
 
 
 class Reading:
-    """One daemon's metrics at one moment.
+    """A snapshot of one daemon's metrics.
 
-    :param text: what ``/metrics`` answered.
+    :param text: the response of ``/metrics``.
     """
 
     __slots__ = ("cpu_s", "resident_bytes", "bytes_by_class")
@@ -49,9 +49,9 @@
 
 
 def plan(hosts):
-    """Return a fleet's plan with an application pool.
+    """Return the plan of a fleet with one application pool.
 
-    :param hosts: how many daemons.
+    :param hosts: the number of daemons.
     """
     counts = {zone: hosts // len(ZONES) for zone in ZONES}
     pools = (fleet.PoolPlan("dash", "application", {"zone-a": 1, "zone-b": 1}),)
@@ -60,7 +60,7 @@
 
 
 async def read_all(running):
-    """Return a :class:`Reading` of each daemon, and the platform's counts."""
+    """Return a :class:`Reading` of each daemon, and the platform's call counts."""
     answers = await asyncio.gather(
         *(fleet.http_get(f"{host.url}/metrics") for host in running.hosts)
     )
@@ -69,9 +69,10 @@
 
 
 async def measure(running, seconds):
-    """Return each daemon's mean costs over some seconds.
+    """Return the mean costs per daemon over some seconds.
 
-    :return: CPU s/s, resident bytes, bytes/s by class, and platform calls/s.
+    :return: CPU s/s, resident bytes, bytes/s by message class and direction, and
+        the fleet's platform calls/s by kind.
     """
     before, counts = await read_all(running)
     await asyncio.sleep(seconds)
@@ -92,7 +93,7 @@
 
 
 async def grow_list(running):
-    """Fill the platform's list up with upstreams that nobody uses."""
+    """Extend the platform's host list to ``LISTED`` entries with unused upstreams."""
     hosts = running.listed_hosts()
     more = listed(max(0, LISTED - len(hosts)))
     await running.control(running.platform_control, "hosts", hosts=hosts + more)
@@ -107,7 +108,7 @@
 
 @contextlib.asynccontextmanager
 async def load(running):
-    """Fetch panels through the daemons from a few callers."""
+    """Run ``CALLERS`` callers that fetch panels through the daemons."""
     urls = [host.url for host in running.hosts]
     tasks = [asyncio.create_task(_call(urls[i % len(urls)])) for i in range(CALLERS)]
     try:
@@ -124,9 +125,9 @@
             async with fleet.Fleet(plan(size)) as running:
                 return await _measure_fleet(running, seconds)
         except AssertionError as e:
-            # A port that was free may be taken by the time a daemon listens.
+            # Another process may bind a free port before the daemon listens on it.
             print(f"  {size} daemons did not start: {str(e).splitlines()[0]}")
-    raise AssertionError(f"{size} daemons did not start in {STARTS} tries.")
+    raise AssertionError(f"{size} daemons did not start in {STARTS} attempts.")
 
 
 async def _measure_fleet(running, seconds):
@@ -154,21 +155,24 @@
         bytes_by_size.append((size, sum(idle[2].values()) / KB))
         class_rows = [(*name, rate) for name, rate in sorted(idle[2].items()) if rate]
     show(
-        f"Per daemon, {LISTED} listed: processor, memory, bytes, platform calls",
+        f"Per daemon, {LISTED} listed: CPU, memory, bytes, platform calls",
         ("daemons", "load", "cpu %", "MB", "KB/s", "reads/s", "lists/s", "writes/s"),
         rows,
     )
     show(
-        f"Idle, per daemon of {sizes[-1]}: control bytes a second by message class",
+        f"Idle, per daemon of {sizes[-1]}: control bytes/s by message class",
         ("class", "direction", "bytes/s"),
         class_rows,
     )
     if len(sizes) > 1:
-        print(f"  slope: {slope(bytes_by_size):.4f} KB/s for each further daemon")
+        print(f"  slope: {slope(bytes_by_size):.4f} KB/s per additional daemon")
 
 
 def run():
-    """Print the costs at each size; ``SLOPES_SIZES`` chooses the sizes."""
+    """Print the costs at each fleet size.
+
+    ``SLOPES_SIZES`` sets the sizes, ``SLOPES_SECONDS`` the duration of a measurement.
+    """
     chosen = os.environ.get("SLOPES_SIZES")
     sizes = [int(n) for n in chosen.split(",")] if chosen else SIZES
     seconds = float(os.environ.get("SLOPES_SECONDS", MEASURE_S))
--- a/test/bench/forwarder.py
+++ b/test/bench/forwarder.py
@@ -1,8 +1,8 @@
-"""A bare forwarder: blacksheep in front, the daemon's HTTP client behind.
+"""Minimal proxy as a baseline: a blacksheep server with the daemon's HTTP client.
 
 ``python -m test.bench.forwarder ADDRESS PORT APP_ADDRESS APP_PORT ENGINE_ADDRESS
-ENGINE_PORT`` passes every request on to one of two upstreams and does nothing else:
-no accounts, no choice of an upstream, no spans, no metrics.
+ENGINE_PORT`` forwards every request to one of two upstreams and does nothing else:
+no client accounts, no upstream selection, no spans, no metrics.
 """
 
 import asyncio
--- a/test/bench/hop.py
+++ b/test/bench/hop.py
@@ -1,4 +1,4 @@
-"""What one hop through a daemon costs, beside a direct call and a bare forwarder."""
+"""Compare a hop through a daemon with a direct call and a minimal proxy."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 
 
 def plan():
-    """Return a fleet of one daemon before fast stand-ins."""
+    """Return the plan of a fleet with one daemon and fast stand-ins as upstreams."""
     pools = (
         fleet.PoolPlan("dash", "application", {"zone-a": 2}),
         fleet.PoolPlan(
@@ -50,7 +50,7 @@
     """One daemon, one forwarder and their upstreams.
 
     :param running: the fleet.
-    :param processes: the :class:`Directory` of the callers.
+    :param processes: the :class:`Directory` that starts the forwarder and callers.
     """
 
     def __init__(self, running, processes):
@@ -77,7 +77,7 @@
             self._places[kind, "daemon"] = host.address, host.port
 
     async def call(self, kind, way, callers=1, processes=1, seconds=SECONDS):
-        """Run callers, and return their reports."""
+        """Run caller processes, and return their reports."""
         address, port = self._places[kind, way]
         arguments = [kind, address, port, callers, seconds, STREAM_TOKENS]
         started = []
@@ -96,16 +96,16 @@
         return reports
 
     async def pace(self, options):
-        """Set how fast the engines are.
+        """Set the token timing of the engines.
 
-        :param options: options of the engines' stand-in.
+        :param options: options of the engine stand-in.
         """
         for upstream in self._running.upstreams:
             if upstream.pool == "lm-pool":
                 await self._running.control(upstream, "set", **options)
 
     async def cpu_s(self):
-        """Return the processor seconds that the daemon has spent."""
+        """Return the CPU time that the daemon has used, in seconds."""
         readings, _ = await read_all(self._running)
         return readings[0].cpu_s
 
@@ -152,14 +152,14 @@
     rows = []
     for name, kind, field, callers, pace in (
         ("requests", "fetch", "calls", CALLERS, UNPACED),
-        ("tokens, as fast as may be", "stream", "events", CALLERS, UNPACED),
-        ("tokens, each 20 ms a stream", "stream", "events", PACED_CALLERS, PACED),
+        ("tokens, unthrottled", "stream", "events", CALLERS, UNPACED),
+        ("tokens, one per 20 ms and stream", "stream", "events", PACED_CALLERS, PACED),
     ):
         await bench.pace(pace)
         rates = [rate async for rate in _rates(bench, kind, field, callers, runs)]
         rows.append((name, statistics.median(rates), min(rates), max(rates)))
     await bench.pace(UNPACED)
-    columns = ("a second of one core", "median", "least", "most")
+    columns = ("per CPU second", "median", "least", "most")
     show(f"One daemon, {runs} runs", columns, rows)
 
 
@@ -174,8 +174,8 @@
 
 
 def run():
-    """Print latency as ratios, and work per core.
+    """Print throughput per CPU second, and latency ratios.
 
-    ``SLOPES_RUNS`` sets the runs; ``SLOPES_THROUGHPUT_ONLY`` leaves latency out.
+    ``SLOPES_RUNS`` sets the number of runs; ``SLOPES_THROUGHPUT_ONLY`` skips latency.
     """
     asyncio.run(_run())
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -1,4 +1,4 @@
-"""What one more item of each kind of control state keeps in memory."""
+"""Measure the memory per item of each kind of control state."""
 
 import asyncio
 import gc
@@ -110,8 +110,8 @@
     ("entry of the host list", _listed),
     ("held grant, entry host", _client_grants),
     ("held grant, owner", _owner_grants),
-    ("remembered key with its answer", _keys),
-    ("request in the kept decisions", _decisions),
+    ("cached outcome of an idempotency key", _keys),
+    ("request in the decision log", _decisions),
     ("label value of a metric", _metrics),
 )
 
@@ -164,15 +164,15 @@
 
 async def _run():
     rows = [row async for row in _item_rows()]
-    show("Memory kept by one item", ("item", "bytes"), rows)
+    show("Memory retained per item", ("item", "bytes"), rows)
     rows = [row async for row in _step_rows()]
-    columns = ("tokens a sample", "MB at holder", "MB sent to replica")
-    columns += ("B/token kept", "B/token sent")
+    columns = ("tokens per sample", "MB at holder", "MB sent to replica")
+    columns += ("B/token retained", "B/token sent")
     show("One step of 512 samples", columns, rows)
 
 
 def run():
-    """Print the memory of each kind of state, and the process's base."""
+    """Print the memory of each kind of state, and of a process after its imports."""
     asyncio.run(_run())
     print("\nResident memory of a process, module by module", flush=True)
     subprocess.run([sys.executable, "-m", "test.bench.base"], check=True)
--- a/test/bench/processes.py
+++ b/test/bench/processes.py
@@ -1,4 +1,4 @@
-"""The processes of one measurement, ended by their ids."""
+"""Starts the processes of one benchmark and stops them at its end."""
 
 import shutil
 import tempfile
@@ -9,7 +9,7 @@
 
 
 class Directory:
-    """Start stand-ins; use as an async context manager."""
+    """Async context manager for processes that share a temporary directory."""
 
     __slots__ = ("path", "_processes")
 
@@ -25,7 +25,7 @@
         shutil.rmtree(self.path, ignore_errors=True)
 
     def start(self, name, arguments):
-        """Start ``python -m`` with some arguments.
+        """Start ``python -m`` with the given arguments.
 
         :return: the process.
         """
@@ -34,7 +34,7 @@
         return process
 
     async def stand_in(self, name, kind, options):
-        """Start a stand-in and wait until it serves.
+        """Start a stand-in and wait until it is ready.
 
         :return: its address and port.
         """
--- a/test/bench/profile.py
+++ b/test/bench/profile.py
@@ -1,4 +1,4 @@
-"""Where a daemon's processor time goes, by ``cProfile``: fetches, streams, idle."""
+"""Profile a daemon with ``cProfile`` under fetches, under streams and idle."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
     """A fleet whose daemons run under the profiler."""
 
     def stats_path(self, host_id):
-        """Return where a daemon's figures go when it ends."""
+        """Return the path to which a daemon writes its profile on exit."""
         return str(self.directory / f"{host_id}.stats")
 
     async def start_host(self, host_id):
@@ -52,7 +52,7 @@
 
 
 def run():
-    """Print the costliest functions; ``SLOPES_KIND`` chooses one kind of load."""
+    """Print the functions with the most CPU time; ``SLOPES_KIND`` selects one load."""
     chosen = os.environ.get("SLOPES_KIND")
     for kind in [chosen] if chosen else KINDS:
         asyncio.run(_run(kind))
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -1,4 +1,4 @@
-"""New weights on all servers, and one message to all hosts."""
+"""Measure weight rollouts to all engines, and a broadcast to all hosts."""
 
 import asyncio
 import collections
@@ -43,7 +43,7 @@
 
 
 class _Published:
-    """Keeps what the driver says that the engines run."""
+    """Records the engine versions that the updater broadcasts."""
 
     def __init__(self):
         self.versions = {}
@@ -63,7 +63,7 @@
 
 
 async def _rollouts(places, count):
-    """Yield the seconds and processor seconds of rollouts, then of idle time."""
+    """Yield elapsed and CPU seconds of each rollout, then of an idle period."""
     clock = Clock()
     http = HttpClient(clock=clock, limits=_common.make_settings().limits)
     versions, published = _Versions(), _Published()
@@ -119,7 +119,7 @@
 
 
 def _tree_rows():
-    """Yield the load of one message from one host to all."""
+    """Yield the message counts of one broadcast from one host to all."""
     records = [
         SimpleNamespace(id=f"host-{i}", zone=f"zone-{i % ZONES}") for i in range(HOSTS)
     ]
@@ -147,12 +147,12 @@
 
 
 def run():
-    """Print the time and processor time of rollouts, and the tree's shape."""
+    """Print the elapsed and CPU time of rollouts, and the shape of the tree."""
     columns = ("hosts", "reached", "most received", "most sent", "hops")
     show("One message to all hosts", columns, _tree_rows())
     rows = asyncio.run(_collect())
-    columns = ("upstreams", "slowest s", "cpu ms an upstream", "cpu % between")
-    title = f"One driver orders new weights, {SWAP_MS} ms a swap, slowest of {RUNS}"
+    columns = ("upstreams", "slowest s", "cpu ms per upstream", "cpu % idle")
+    title = f"Weight rollout by one updater, {SWAP_MS} ms per swap, slowest of {RUNS}"
     show(title, columns, rows)
 
 
--- a/test/bench/table.py
+++ b/test/bench/table.py
@@ -1,4 +1,4 @@
-"""Tables of measured figures, in plain text."""
+"""Plain-text tables of measurements."""
 
 import statistics
 
@@ -6,9 +6,9 @@
 def show(title, columns, rows):
     """Print a table.
 
-    :param title: what was measured, and how.
+    :param title: what was measured and under which conditions.
     :param columns: the columns' names.
-    :param rows: the rows, whose numbers are shown with three digits.
+    :param rows: the rows; floats below 1000 are shown with three significant digits.
     """
     texts = [[str(c) for c in columns], *([_text(v) for v in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
