--- a/test/standins/app.py
+++ b/test/standins/app.py
@@ -45,16 +45,16 @@
         if self.mode == SLOW:
             await asyncio.sleep(self.slow_s)
         if self.mode == WRONG_LENGTH:
-            return Response(200, _cut_short())
+            return Response(200, _truncated_body())
         if self.jitter_s:
             await asyncio.sleep(random.uniform(0, self.jitter_s))
-        return self._answer(request)
+        return self._respond(request)
 
-    def _answer(self, request):
+    def _respond(self, request):
         if request.path == "/large":
             return Response(200, b"x" * LARGE_BODY_BYTES)
         if request.path == "/chunked":
-            return Response(200, _in_chunks())
+            return Response(200, _chunked_body())
         if request.method in ("GET", "HEAD"):
             target = f"{request.path}?{request.query}"
             trace = request.headers.get("traceparent", "")
@@ -73,12 +73,12 @@
         )
 
 
-async def _in_chunks():
+async def _chunked_body():
     for part in (b"first ", b"second ", b"third"):
         yield part
 
 
-async def _cut_short():
+async def _truncated_body():
     yield b'{"app":'
     raise Drop
 
--- a/test/standins/engine.py
+++ b/test/standins/engine.py
@@ -71,8 +71,8 @@
 
 def natural_length(prompt, seed, mean_tokens, prompt_spread=0):
     """Return a heavy-tailed output length, deterministic for a prompt and seed."""
-    of_prompt = hashlib.sha256(f"{prompt}/spread".encode()).digest()
-    mean_tokens *= 2 ** (prompt_spread * (of_prompt[0] / 127.5 - 1))
+    prompt_digest = hashlib.sha256(f"{prompt}/spread".encode()).digest()
+    mean_tokens *= 2 ** (prompt_spread * (prompt_digest[0] / 127.5 - 1))
     digest = hashlib.sha256(f"{prompt}/{seed}/length".encode()).digest()
     uniform = (int.from_bytes(digest[:6], "big") + 1) / (1 << 48)
     # The mean of a Pareto distribution with exponent 2 is twice its minimum.
@@ -87,19 +87,20 @@
         self.words_by_prompt = collections.OrderedDict()
         self.hits = 0
 
-    def missing(self, words):
+    def count_uncached(self, words):
         """Return the number of uncached tokens of a prompt, and cache the prompt."""
-        best = max(
-            (_common(words, w) for w in self.words_by_prompt.values()), default=0
+        longest_prefix = max(
+            (_common_prefix_length(words, w) for w in self.words_by_prompt.values()),
+            default=0,
         )
-        self.hits += bool(best)
+        self.hits += bool(longest_prefix)
         self.words_by_prompt[" ".join(words)] = words
         while sum(map(len, self.words_by_prompt.values())) > self.max_tokens:
             self.words_by_prompt.popitem(last=False)
-        return len(words) - best
+        return len(words) - longest_prefix
 
 
-def _common(a, b):
+def _common_prefix_length(a, b):
     count = 0
     for x, y in zip(a, b, strict=False):
         if x != y:
@@ -127,8 +128,8 @@
         self.max_running = 0
         self.prefilled = 0
         self.cancelled_ids = set()
-        self.at_work = asyncio.Event()
-        self.at_work.set()
+        self.not_swapping = asyncio.Event()
+        self.not_swapping.set()
         self.report = self._load()
         self.report_due = 0.0
 
@@ -137,9 +138,9 @@
             case "/v1/completions":
                 return await self._complete(request)
             case "/state":
-                return json_response(self._late_report())
+                return json_response(self._delayed_report())
             case "/orders":
-                return await self._order(request.json())
+                return await self._load_order(request.json())
             case "/cancel":
                 self.cancelled_ids.add(request.json()["request_id"])
                 return json_response({})
@@ -178,16 +179,16 @@
             "role": options.role,
         }
 
-    def _late_report(self):
+    def _delayed_report(self):
         now = asyncio.get_running_loop().time()
         if now >= self.report_due:
             self.report_due = now + self.options.report_lag_ms / 1000
-            self.report, late = self._load(), self.report
-            late["version"] = self.options.version
-            return late
+            self.report, delayed = self._load(), self.report
+            delayed["version"] = self.options.version
+            return delayed
         return self.report
 
-    async def _order(self, order):
+    async def _load_order(self, order):
         options = self.options
         self.orders.append(order)
         if options.fencing:
@@ -195,15 +196,15 @@
                 return json_response({"version": options.version}, 409)
             self.fencing = order["fencing"]
         if options.swap_pauses:
-            self.at_work.clear()
+            self.not_swapping.clear()
         await asyncio.sleep(options.swap_ms / 1000)
-        self.at_work.set()
+        self.not_swapping.set()
         if not options.fail_swap:
             options.model, options.version = order["model"], order["version"]
         return json_response({"version": options.version})
 
     async def _complete(self, request):
-        await self._be_silent(self.options.silent)
+        await self._hang_if(self.options.silent)
         if self.options.role == LEAVING:
             self.refused += 1
             return json_response({}, 503, [("x-upstream-state", LEAVING)])
@@ -215,63 +216,67 @@
             [("content-type", "text/event-stream")],
         )
 
-    async def _be_silent(self, silent):
+    async def _hang_if(self, silent):
         if silent:
             await asyncio.Event().wait()
 
     def _token_s(self):
         options = self.options
-        over = max(0, self.running - options.slots)
+        excess = max(0, self.running - options.slots)
         slowdown = 1 + options.batch_slowdown * self.running
-        return options.token_ms * (slowdown + options.overload_slowdown * over) / 1000
+        return options.token_ms * (slowdown + options.overload_slowdown * excess) / 1000
 
     async def _stream(self, body, request_id):
         self.running += 1
         self.started += 1
-        run = self.started
+        stream_number = self.started
         self.max_running = max(self.max_running, self.running)
-        ended = False
+        completed = False
         try:
-            prompt, resumed = body["prompt"], body.get("resume_text", "")
-            missing = self.cache.missing((prompt + " " + resumed).split())
-            self.prefilled += missing
-            await asyncio.sleep(missing * self.options.prompt_token_ms / 1000)
-            async for event in self._events(body, prompt, resumed, request_id, run):
+            prompt, resume_text = body["prompt"], body.get("resume_text", "")
+            uncached = self.cache.count_uncached((prompt + " " + resume_text).split())
+            self.prefilled += uncached
+            await asyncio.sleep(uncached * self.options.prompt_token_ms / 1000)
+            async for event in self._events(
+                body, prompt, resume_text, request_id, stream_number
+            ):
                 yield event
             if self.options.end_mark:
                 yield b"data: [DONE]\n\n"
-            ended = True
+            completed = True
             self.finished += 1
         finally:
-            self.cancelled += not ended
+            self.cancelled += not completed
             self.running -= 1
 
-    async def _events(self, body, prompt, resumed, request_id, run):
+    async def _events(self, body, prompt, resume_text, request_id, stream_number):
         options = self.options
-        first = len(resumed.split())
-        last = first + body["max_tokens"]
+        start = len(resume_text.split())
+        end = start + body["max_tokens"]
         reason = "length"
         if options.mean_tokens:
             natural = natural_length(
                 prompt, body["seed"], options.mean_tokens, options.prompt_spread
             )
-            if natural <= last:
-                last, reason = max(natural, first + 1), "stop"
-        for index in range(first, last):
-            if index - first == options.cut_after or request_id in self.cancelled_ids:
+            if natural <= end:
+                end, reason = max(natural, start + 1), "stop"
+        for index in range(start, end):
+            if index - start == options.cut_after or request_id in self.cancelled_ids:
                 raise Drop
-            while options.comment_ms and index - first == options.silent_after:
+            while options.comment_ms and index - start == options.silent_after:
                 yield b": waiting\n\n"
                 await asyncio.sleep(options.comment_ms / 1000)
-            await self._be_silent(index - first == options.silent_after)
+            await self._hang_if(index - start == options.silent_after)
             await asyncio.sleep(self._token_s())
-            await self.at_work.wait()
+            await self.not_swapping.wait()
             self.tokens += 1
             text = token_text(prompt, body["seed"], index)
             if options.tagged:
-                text = f"{text.rstrip()}.{options.version}.{options.port}-{run} "
+                text = (
+                    f"{text.rstrip()}.{options.version}.{options.port}-{stream_number} "
+                )
             choice = {"text": text}
-            choice["finish_reason"] = reason if index == last - 1 else None
+            choice["finish_reason"] = reason if index == end - 1 else None
             event = {"choices": [choice], "tokens": 1}
             if options.state_version:
                 event["version"] = options.version
--- a/test/standins/platform.py
+++ b/test/standins/platform.py
@@ -49,7 +49,7 @@
         "has_tags",
         "weights",
         "weight_reads_per_s",
-        "weight_times",
+        "weight_read_times",
         "outage",
         "latency_ms",
         "lost_answers",
@@ -57,7 +57,7 @@
         "counts",
         "data_server",
         "can_refuse",
-        "_outage_over",
+        "_outage_ended",
     )
 
     def __init__(self, options):
@@ -69,7 +69,7 @@
         self.has_tags = options.get("has_tags", True)
         self.weights = options.get("weights", {})
         self.weight_reads_per_s = options.get("weight_reads_per_s", 0)
-        self.weight_times = collections.deque()
+        self.weight_read_times = collections.deque()
         self.outage = ""
         self.latency_ms = options.get("latency_ms", 0)
         self.lost_answers = 0
@@ -77,7 +77,7 @@
         self.counts = collections.Counter()
         self.data_server = None
         self.can_refuse = bool(options.get("control_port"))
-        self._outage_over = asyncio.Event()
+        self._outage_ended = asyncio.Event()
 
     async def handle(self, request):
         """Return the response to a request."""
@@ -86,7 +86,7 @@
             return await self._control(parts[1], request)
         if self.latency_ms:
             await asyncio.sleep(self.latency_ms / MS_PER_SECOND)
-        await self._meet_outage()
+        await self._apply_outage()
         match request.method, parts:
             case "GET", ["tables", table, key]:
                 return self._count("reads", self._get(table, key))
@@ -110,9 +110,9 @@
                 return self._count("weight_reads", self._weight(model, int(version)))
         return Response(404)
 
-    async def _meet_outage(self):
+    async def _apply_outage(self):
         if self.outage == HANG:
-            await self._outage_over.wait()
+            await self._outage_ended.wait()
             raise Drop
         if self.outage == REFUSE:
             raise Drop
@@ -182,13 +182,13 @@
 
     def _weight(self, model, version):
         now = time.monotonic()
-        while self.weight_times and self.weight_times[0] <= now - 1:
-            self.weight_times.popleft()
-        bound = self.weight_reads_per_s
-        if bound and len(self.weight_times) >= bound:
+        while self.weight_read_times and self.weight_read_times[0] <= now - 1:
+            self.weight_read_times.popleft()
+        max_reads = self.weight_reads_per_s
+        if max_reads and len(self.weight_read_times) >= max_reads:
             self.counts["weight_refusals"] += 1
             return Response(429, headers=[("retry-after", "1")])
-        self.weight_times.append(now)
+        self.weight_read_times.append(now)
         found = version in self.weights.get(model, ())
         return json_response({}, 200 if found else 404)
 
@@ -215,15 +215,15 @@
                 return Response(404)
         return json_response({})
 
-    def drop_hanging(self):
+    def abort_waiting(self):
         """Close the connections of requests that an outage keeps waiting."""
-        self._outage_over.set()
-        self._outage_over = asyncio.Event()
+        self._outage_ended.set()
+        self._outage_ended = asyncio.Event()
 
     async def _set_outage(self, mode):
         was_refusing = self.outage == REFUSE
         self.outage = mode
-        self.drop_hanging()
+        self.abort_waiting()
         if not self.can_refuse:
             return
         if mode == REFUSE and not was_refusing:
@@ -255,7 +255,7 @@
 
     async def close(self):
         """Stop listening and abort all connections."""
-        self.platform.drop_hanging()
+        self.platform.abort_waiting()
         await self.data.close()
         if self.control:
             await self.control.close()
--- a/test/standins/users_server.py
+++ b/test/standins/users_server.py
@@ -97,12 +97,12 @@
                 {"models": self.entry()["models"], "busy": False, "seq": self.accepted}
             )
         if request.path == "/order":
-            return self._order(request.json())
+            return self._load_order(request.json())
         if self.refusing:
             return Response(503, headers=[("not-run", "1")])
         return await self._run(request)
 
-    def _order(self, order):
+    def _load_order(self, order):
         if order.get("expected") not in (None, self.accepted):
             return Response(409)
         self.orders.append(order)
--- a/test/standins/users_store.py
+++ b/test/standins/users_store.py
@@ -47,11 +47,11 @@
         self.read_ms = 0
         self.refused = 0
         self.silent_parts = lambda part: False
-        self._free_by_part = {}
+        self._free_at_by_part = {}
         self._changed = asyncio.Event()
         self._server = Server(self.handle, "127.0.0.1", 0)
         self._gates = []
-        self._late = set()
+        self._late_tasks = set()
         self.cut = set()
         self.turned_away = set()
 
@@ -67,7 +67,7 @@
     async def gate(self, name):
         """Listen on another port; its calls hang while the name is in ``cut``."""
 
-        async def pass_on(request):
+        async def handle_at_gate(request):
             if name in self.turned_away:
                 return Response(503)
             if name in self.cut:
@@ -77,7 +77,7 @@
                 await asyncio.sleep(60)
             return response
 
-        server = Server(pass_on, "127.0.0.1", 0)
+        server = Server(handle_at_gate, "127.0.0.1", 0)
         await server.start()
         self._gates.append(server)
         return server.port
@@ -86,7 +86,7 @@
         """Stop listening and abort all connections."""
         for server in self._gates:
             await server.close()
-        for task in self._late:
+        for task in self._late_tasks:
             task.cancel()
         await self._server.close()
 
@@ -132,7 +132,7 @@
             parts = {entry["part"] for entry in entries}
         if any(self.silent_parts(part) for part in parts):
             await asyncio.sleep(60)
-        if kind == "rows-tx" and not await self._take_turn(min(parts, default="")):
+        if kind == "rows-tx" and not await self._wait_for_turn(min(parts, default="")):
             self.refused += 1
             return Response(429)
         if kind.startswith("rows-") and kind != "rows-tx":
@@ -160,20 +160,20 @@
                 return Response(200)
         return Response(404)
 
-    async def _take_turn(self, part):
+    async def _wait_for_turn(self, part):
         """Wait for a part's earlier transactions; return False if its queue is full."""
         now = time.monotonic()
-        free = max(now, self._free_by_part.get(part, now))
-        if (free - now) * 1000 > MOST_WAITING_MS:
+        free_at = max(now, self._free_at_by_part.get(part, now))
+        if (free_at - now) * 1000 > MOST_WAITING_MS:
             return False
-        self._free_by_part[part] = free + self.tx_ms / 1000
-        await asyncio.sleep(self._free_by_part[part] - now)
+        self._free_at_by_part[part] = free_at + self.tx_ms / 1000
+        await asyncio.sleep(self._free_at_by_part[part] - now)
         return True
 
     async def _write_call(self, write):
         if self.late_writes:
             self.late_writes -= 1
-            self._late.add(asyncio.create_task(self._write_late(write)))
+            self._late_tasks.add(asyncio.create_task(self._write_late(write)))
             raise Drop
         response = write()
         if self.lost_answers:
@@ -201,13 +201,13 @@
             failed = failed or (row["ver"] if row else 0) != entry["ver"]
         if failed:
             rows = [self.row_by_place.get(_place(e)) for e in body["expected"]]
-            return self._answer([row for row in rows if row], status=412)
+            return self._reply([row for row in rows if row], status=412)
         self.version += 1
         for entry in body["setKeys"]:
             self._write(entry["table"], entry["part"], entry["key"], entry["value"])
         for entry in body["remove"]:
             self._write(entry["table"], entry["part"], entry["key"], None)
-        return self._answer([])
+        return self._reply([])
 
     def _write(self, table, part, key, value):
         row = {"table": table, "part": part, "key": key, "ver": self.version}
@@ -234,7 +234,7 @@
             and ("to" not in query or key < query["to"])
         ]
         limit = min(int(query.get("limit", PAGE_ROWS)), PAGE_ROWS)
-        return self._answer(rows[:limit], hasMore=len(rows) > limit)
+        return self._reply(rows[:limit], hasMore=len(rows) > limit)
 
     def _parts(self, query):
         parts = {p for table, p, _ in self.row_by_place if table == query["table"]}
@@ -244,7 +244,7 @@
 
     async def _feed(self, query):
         after = int(query["after"])
-        end = time.monotonic() + int(query["waitMs"]) / 1000
+        deadline_s = time.monotonic() + int(query["waitMs"]) / 1000
         while True:
             if after < self.forgotten:
                 return Response(410)
@@ -253,17 +253,17 @@
                 for row in self.history
                 if row["table"] == query["table"] and row["ver"] > after
             ]
-            left = end - time.monotonic()
-            if rows or left <= 0:
-                return self._answer(rows)
+            remaining_s = deadline_s - time.monotonic()
+            if rows or remaining_s <= 0:
+                return self._reply(rows)
             changed = self._changed
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
             except TimeoutError:
                 pass
 
-    def _answer(self, rows, status=200, **fields):
+    def _reply(self, rows, status=200, **fields):
         now_ms = time.monotonic_ns() // 1_000_000
         body = {"rows": rows, "ver": self.version, "nowMs": now_ms, **fields}
         return json_response(body, status)
