--- a/test/bench/caller.py
+++ b/test/bench/caller.py
@@ -28,16 +28,16 @@
     """Runs calls and records their counts and latencies.
 
     :param kind: ``fetch`` or ``stream``.
-    :param place: the address and port to call.
+    :param endpoint: the address and port to call.
     :param tokens: the number of tokens of a stream.
     """
 
-    def __init__(self, kind, place, tokens):
-        self.first = HdrHistogram(1, MAX_US, 3)
-        self.whole = HdrHistogram(1, MAX_US, 3)
+    def __init__(self, kind, endpoint, tokens):
+        self.first_chunk_us = HdrHistogram(1, MAX_US, 3)
+        self.total_us = HdrHistogram(1, MAX_US, 3)
         self.calls = self.events = self.failures = 0
         self._call = self._fetch if kind == "fetch" else self._stream
-        self._place = place
+        self._endpoint = endpoint
         self._tokens = tokens
         self._http = HttpClient(clock=Clock(), limits=_common.make_settings().limits)
 
@@ -51,12 +51,12 @@
         while time.monotonic() < end:
             started = time.perf_counter()
             await self._call(number, started)
-            self.whole.record_value(_since(started))
+            self.total_us.record_value(_since(started))
             self.calls += 1
 
     async def _fetch(self, number, started):
         answer = await self._http.request(
-            *self._place, "GET", "/apps/dash/panel", HEADERS, idempotent=True
+            *self._endpoint, "GET", "/apps/dash/panel", HEADERS, idempotent=True
         )
         self.failures += answer.status != 200
 
@@ -64,13 +64,17 @@
         body = {"model": "lm-pool", "prompt": f"p{number}", "stream": True, "seed": 1}
         body["max_tokens"] = self._tokens
         opened = self._http.stream(
-            *self._place, "POST", "/v1/completions", HEADERS, json.dumps(body).encode()
+            *self._endpoint,
+            "POST",
+            "/v1/completions",
+            HEADERS,
+            json.dumps(body).encode(),
         )
         events, is_whole = 0, False
         async with opened as answer:
             async for chunk in answer.body():
                 if not events:
-                    self.first.record_value(_since(started))
+                    self.first_chunk_us.record_value(_since(started))
                 events += chunk.count(b"data:")
                 is_whole = b"[DONE]" in chunk
         self.events += events - 1
@@ -80,7 +84,10 @@
         """Return the measurements as a JSON-serializable dict."""
         percentiles = {
             f"{name}_{p}": histogram.get_value_at_percentile(p)
-            for name, histogram in (("first", self.first), ("whole", self.whole))
+            for name, histogram in (
+                ("first", self.first_chunk_us),
+                ("whole", self.total_us),
+            )
             for p in (50, 99)
         }
         counts = {"calls": self.calls, "events": self.events}
--- a/test/bench/control.py
+++ b/test/bench/control.py
@@ -41,7 +41,7 @@
 HEAD_BYTES = 1200
 
 
-def record(i=0):
+def host_record(i=0):
     """Return a host record as in a membership message."""
     return HostRecord(
         f"szeged-a-{i}", "szeged-a", "hu-south", "10.1.2.3", 8080, 9090, 1 << 40,
@@ -50,13 +50,17 @@
 
 
 def _messages():
-    news = tuple(record(i) for i in range(6))
+    updates = tuple(host_record(i) for i in range(6))
     grant = "szeged-a-1/" + "0" * 24
     held = HeldGrant(grant, "lm-pool-1", "trainer", 500)
     targets = tuple(f"szeged-a-{i}" for i in range(43))
     return (
-        ("probe, no updates", Probe(record()), ProbeAnswer(record())),
-        ("probe, 6 updates", Probe(record(), news), ProbeAnswer(record(), news)),
+        ("probe, no updates", Probe(host_record()), ProbeAnswer(host_record())),
+        (
+            "probe, 6 updates",
+            Probe(host_record(), updates),
+            ProbeAnswer(host_record(), updates),
+        ),
         (
             "acquire",
             Acquire(grant, "lm-pool-1", "trainer", "trainer", 1, 500, 9000, "0" * 24),
@@ -76,7 +80,7 @@
     def __init__(self):
         peer = _common.make_settings(PEER_ID)
         own = _common.make_settings("host-a1")
-        self.place = (peer.host.address, peer.host.peer_port)
+        self.endpoint = (peer.host.address, peer.host.peer_port)
         self.sender, self.peer = self._make(own), self._make(peer)
         self.received = asyncio.Semaphore(0)
 
@@ -84,7 +88,7 @@
         return PeerLinks(
             clock=Clock(),
             settings=settings,
-            directory=lambda host_id: self.place,
+            directory=lambda host_id: self.endpoint,
             metrics=Metrics(),
         )
 
@@ -131,7 +135,7 @@
         await links.close()
 
 
-def listed(count):
+def upstream_entries(count):
     """Return entries of the platform's host list, all of them upstreams."""
     return [
         {
@@ -151,7 +155,7 @@
     async with Directory() as processes:
         options = {"host_lag_ms": 0}
         address, port = await processes.stand_in("platform", "platform", options)
-        body = json.dumps({"hosts": listed(LISTED)}).encode()
+        body = json.dumps({"hosts": upstream_entries(LISTED)}).encode()
         await http_post(f"http://{address}:{port}/control/hosts", body)
         settings = _common.make_settings(platform={"address": address, "port": port})
         metrics, clock = Metrics(), Clock()
--- a/test/bench/documents.py
+++ b/test/bench/documents.py
@@ -23,7 +23,7 @@
 CHANGES_PER_S = 3400 / 86_400
 
 
-def make(upstreams, accounts):
+def make_configuration(upstreams, accounts):
     """Return a configuration.
 
     :param upstreams: the number of upstreams.
@@ -59,30 +59,30 @@
     return (time.process_time() - started) * 1000 / REPEATS
 
 
-def kept_bytes(make_object):
+def retained_bytes(make_object):
     """Return the memory that an object retains, in bytes."""
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = make_object()
+    retained = make_object()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
 
 
 def _row(upstreams, accounts):
-    configuration = make(upstreams, accounts)
+    configuration = make_configuration(upstreams, accounts)
     data = documents.encode(configuration)
 
-    def adopt():
-        adopted = documents.decode(data)
-        return adopted, expired_lease_configuration(adopted, ())
+    def apply():
+        decoded = documents.decode(data)
+        return decoded, expired_lease_configuration(decoded, ())
 
     size = len(data)
     return (
         (upstreams, accounts, size / KIB, size * CHANGES_PER_S)
-        + (cpu_ms(lambda: documents.encode(configuration)), cpu_ms(adopt))
-        + (kept_bytes(adopt) / KIB,)
+        + (cpu_ms(lambda: documents.encode(configuration)), cpu_ms(apply))
+        + (retained_bytes(apply) / KIB,)
     )
 
 
--- a/test/bench/fleets.py
+++ b/test/bench/fleets.py
@@ -7,7 +7,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from test import fleet
-from test.bench.control import LISTED, listed
+from test.bench.control import LISTED, upstream_entries
 from test.bench.table import show, slope
 
 SIZES = (2, 4, 8, 16, 32)
@@ -35,9 +35,9 @@
         self.bytes_by_class = {}
         for family in text_string_to_metric_families(text):
             for sample in family.samples:
-                self._take(sample)
+                self._add_sample(sample)
 
-    def _take(self, sample):
+    def _add_sample(self, sample):
         match sample.name:
             case "process_cpu_seconds_total":
                 self.cpu_s = sample.value
@@ -53,10 +53,10 @@
 
     :param hosts: the number of daemons.
     """
-    counts = {zone: hosts // len(ZONES) for zone in ZONES}
+    counts_before = {zone: hosts // len(ZONES) for zone in ZONES}
     pools = (fleet.PoolPlan("dash", "application", {"zone-a": 1, "zone-b": 1}),)
     accounts = (fleet.AccountPlan("clerk", "application", TOKEN, ("dash",)),)
-    return fleet.Plan(hosts_by_zone=counts, pools=pools, accounts=accounts)
+    return fleet.Plan(hosts_by_zone=counts_before, pools=pools, accounts=accounts)
 
 
 async def read_all(running):
@@ -74,9 +74,9 @@
     :return: CPU s/s, resident bytes, bytes/s by message class and direction, and
         the fleet's platform calls/s by kind.
     """
-    before, counts = await read_all(running)
+    before, counts_before = await read_all(running)
     await asyncio.sleep(seconds)
-    after, later = await read_all(running)
+    after, counts_after = await read_all(running)
     pairs = list(zip(before, after, strict=True))
     count = len(pairs) * seconds
     cpu = sum(b.cpu_s - a.cpu_s for a, b in pairs) / count
@@ -87,7 +87,8 @@
             spent = (value - a.bytes_by_class.get(name, 0)) / count
             by_class[name] = by_class.get(name, 0) + spent
     calls = {
-        name: (later[name] - counts.get(name, 0)) / seconds for name in sorted(later)
+        name: (counts_after[name] - counts_before.get(name, 0)) / seconds
+        for name in sorted(counts_after)
     }
     return cpu, resident, by_class, calls
 
@@ -95,7 +96,7 @@
 async def grow_list(running):
     """Extend the platform's host list to ``LISTED`` entries with unused upstreams."""
     hosts = running.listed_hosts()
-    more = listed(max(0, LISTED - len(hosts)))
+    more = upstream_entries(max(0, LISTED - len(hosts)))
     await running.control(running.platform_control, "hosts", hosts=hosts + more)
 
 
@@ -146,11 +147,11 @@
         for state, (cpu, resident, by_class, calls) in (("idle", idle), ("busy", busy)):
             total = sum(by_class.values())
             reads = calls.get("reads", 0) / size
-            listed = calls.get("host_reads", 0) / size
+            host_reads = calls.get("host_reads", 0) / size
             writes = calls.get("writes", 0) / size
             rows.append(
                 (size, state, 100 * cpu, resident / MB, total / KB)
-                + (reads, listed, writes)
+                + (reads, host_reads, writes)
             )
         bytes_by_size.append((size, sum(idle[2].values()) / KB))
         class_rows = [(*name, rate) for name, rate in sorted(idle[2].items()) if rate]
--- a/test/bench/forwarder.py
+++ b/test/bench/forwarder.py
@@ -18,29 +18,29 @@
 COMPLETIONS = "/v1/completions"
 
 
-def make_application(http, app_place, engine_place):
+def make_application(http, app_endpoint, engine_endpoint):
     """Return the forwarder as a blacksheep application.
 
     :param http: the ``HttpClient``.
-    :param app_place: the application's address and port.
-    :param engine_place: the engine's address and port.
+    :param app_endpoint: the application's address and port.
+    :param engine_endpoint: the engine's address and port.
     """
     app = Application(show_error_details=True)
 
     async def fetch(request: Request) -> Response:
         target = "/" + request.route_values["tail"]
-        answer = await http.request(*app_place, "GET", target, idempotent=True)
-        content = Content(b"application/json", answer.body)
-        return Response(answer.status, None, content)
+        response = await http.request(*app_endpoint, "GET", target, idempotent=True)
+        content = Content(b"application/json", response.body)
+        return Response(response.status, None, content)
 
     async def complete(request: Request) -> Response:
         body = await request.read()
 
         async def chunks():
             headers = [(b"content-type", b"application/json")]
-            opened = http.stream(*engine_place, "POST", COMPLETIONS, headers, body)
-            async with opened as answer:
-                async for chunk in answer.body():
+            opened = http.stream(*engine_endpoint, "POST", COMPLETIONS, headers, body)
+            async with opened as response:
+                async for chunk in response.body():
                     yield chunk
 
         return Response(200, None, StreamedContent(b"text/event-stream", chunks))
@@ -50,11 +50,13 @@
     return app
 
 
-async def main(address, port, *places):
+async def main(address, port, *endpoints):
     """Serve until killed."""
     http = HttpClient(clock=Clock(), limits=_common.make_settings().limits)
-    app_place, engine_place = zip(places[::2], map(int, places[1::2]), strict=True)
-    app = make_application(http, app_place, engine_place)
+    app_endpoint, engine_endpoint = zip(
+        endpoints[::2], map(int, endpoints[1::2]), strict=True
+    )
+    app = make_application(http, app_endpoint, engine_endpoint)
     await app.start()
     config = uvicorn.Config(
         app, host=address, port=int(port), http="h11", ws="none", lifespan="off",
--- a/test/bench/hop.py
+++ b/test/bench/hop.py
@@ -19,7 +19,7 @@
 PACED = {"token_ms": 20, "batch_slowdown": 0}
 UNPACED = {"token_ms": 0}
 PACED_CALLERS = 100
-WAYS = ("direct", "forwarder", "daemon")
+ROUTES = ("direct", "forwarder", "daemon")
 LIMITS = {"max_queue_per_upstream": 1024}
 
 
@@ -56,7 +56,7 @@
     def __init__(self, running, processes):
         self._running = running
         self._processes = processes
-        self._places = {}
+        self._endpoints = {}
         self._started = 0
 
     async def start(self):
@@ -64,21 +64,26 @@
         app = next(u for u in self._running.upstreams if u.pool == "dash")
         engine = next(u for u in self._running.upstreams if u.pool == "lm-pool")
         port = _common.free_port(ADDRESS)
-        places = [app.address, app.port, engine.address, engine.port]
-        arguments = ["test.bench.forwarder", ADDRESS, str(port), *map(str, places)]
+        upstream_arguments = [app.address, app.port, engine.address, engine.port]
+        arguments = [
+            "test.bench.forwarder",
+            ADDRESS,
+            str(port),
+            *map(str, upstream_arguments),
+        ]
         await self._processes.start("forwarder", arguments).ready_port()
         host = self._running.hosts[0]
-        self._places = {
+        self._endpoints = {
             ("fetch", "direct"): (app.address, app.port),
             ("stream", "direct"): (engine.address, engine.port),
         }
         for kind in ("fetch", "stream"):
-            self._places[kind, "forwarder"] = ADDRESS, port
-            self._places[kind, "daemon"] = host.address, host.port
+            self._endpoints[kind, "forwarder"] = ADDRESS, port
+            self._endpoints[kind, "daemon"] = host.address, host.port
 
-    async def call(self, kind, way, callers=1, processes=1, seconds=SECONDS):
+    async def call(self, kind, route, callers=1, processes=1, seconds=SECONDS):
         """Run caller processes, and return their reports."""
-        address, port = self._places[kind, way]
+        address, port = self._endpoints[kind, route]
         arguments = [kind, address, port, callers, seconds, STREAM_TOKENS]
         started = []
         for _ in range(processes):
@@ -92,7 +97,7 @@
         reports = [json.loads(p.log().splitlines()[-1]) for p in started]
         for report in reports:
             if report["failures"]:
-                raise AssertionError(f"{kind} through {way}: {report}")
+                raise AssertionError(f"{kind} through {route}: {report}")
         return reports
 
     async def pace(self, options):
@@ -114,9 +119,9 @@
     values = {}
     for _ in range(runs):
         for kind in ("fetch", "stream"):
-            for way in WAYS:
-                (report,) = await bench.call(kind, way)
-                values.setdefault((kind, way), []).append(report)
+            for route in ROUTES:
+                (report,) = await bench.call(kind, route)
+                values.setdefault((kind, route), []).append(report)
     rows = []
     for kind, name in (("fetch", "whole"), ("stream", "first"), ("stream", "whole")):
         for p in (50, 99):
@@ -131,7 +136,7 @@
 def _ratios(values, kind, name, percentile):
     field = f"{name}_{percentile}"
     direct, forwarder, daemon = (
-        [report[field] for report in values[kind, way]] for way in WAYS
+        [report[field] for report in values[kind, route]] for route in ROUTES
     )
     hops = [b / a for a, b in zip(forwarder, daemon, strict=True)]
     to_forwarder = [b / a for a, b in zip(direct, forwarder, strict=True)]
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -24,7 +24,7 @@
 from goldcrestmoor.version.steps.step_state import StepState
 from goldcrestmoor.version.steps.steps import GroupSpec, Slot, StepSpec, make_sample
 from test import _common, _request_fakes as fakes
-from test.bench.control import listed
+from test.bench.control import upstream_entries
 from test.bench.table import show
 
 ITEMS = 1000
@@ -49,7 +49,7 @@
 
 
 async def _listed(clock):
-    return msgspec.convert(listed(ITEMS), list[ListedHost])
+    return msgspec.convert(upstream_entries(ITEMS), list[ListedHost])
 
 
 async def _client_grants(clock):
@@ -77,8 +77,10 @@
 
     def answering(i):
         async def answer():
-            kept = tuple((k + b"", bytes(bytearray(v))) for k, v in headers)
-            return AppResponse(201, kept, f'{{"saved": "note {i:060}"}}'.encode())
+            copied_headers = tuple((k + b"", bytes(bytearray(v))) for k, v in headers)
+            return AppResponse(
+                201, copied_headers, f'{{"saved": "note {i:060}"}}'.encode()
+            )
 
         return answer
 
@@ -130,22 +132,22 @@
     return state
 
 
-async def _kept_bytes(make_object):
+async def _retained_bytes(make_object):
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = await make_object(Clock())
+    retained = await make_object(Clock())
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
 
 
 async def _item_rows():
     for name, make_items in ITEM_KINDS:
         await make_items(Clock())
-        yield name, await _kept_bytes(make_items) / ITEMS
+        yield name, await _retained_bytes(make_items) / ITEMS
 
 
 async def _step_rows():
@@ -154,12 +156,18 @@
         async def make_state(clock, tokens=tokens):
             return _step(tokens)
 
-        kept = await _kept_bytes(make_state)
+        retained = await _retained_bytes(make_state)
         samples = tuple(_step(tokens).sample_by_slot.values())
         message = StoreSamples("trainer", "step-1", "0" * 64, 1, samples)
         size = len(msgspec.msgpack.encode(message))
         count = len(samples)
-        yield tokens, kept / MB, size / MB, kept / count / tokens, size / count / tokens
+        yield (
+            tokens,
+            retained / MB,
+            size / MB,
+            retained / count / tokens,
+            size / count / tokens,
+        )
 
 
 async def _run():
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -52,24 +52,24 @@
         self.versions = versions
 
 
-def _configuration(places, count):
+def _configuration(endpoints, count):
     names = [f"lm-{i}" for i in range(count)]
     upstreams = {
-        name: Upstream(name, "lm", "zone-a", *places[i % len(places)])
+        name: Upstream(name, "lm", "zone-a", *endpoints[i % len(endpoints)])
         for i, name in enumerate(names)
     }
     pools = {"lm": Pool("lm", UpstreamKind.ENGINE, MODEL)}
     return Configuration(1, {}, pools, upstreams)
 
 
-async def _rollouts(places, count):
+async def _rollouts(endpoints, count):
     """Yield elapsed and CPU seconds of each rollout, then of an idle period."""
     clock = Clock()
     http = HttpClient(clock=clock, limits=_common.make_settings().limits)
     versions, published = _Versions(), _Published()
     lease = SimpleNamespace(fencing=1, was_released=True, holds=lambda: True)
-    configuration = _configuration(places, count)
-    driver = WeightUpdater(
+    configuration = _configuration(endpoints, count)
+    updater = WeightUpdater(
         clock=clock,
         model=MODEL,
         lease=lease,
@@ -81,21 +81,21 @@
         strategy=AllAtOnce(),
     )
     tasks = TaskGroup()
-    tasks.start(driver.run(lambda: True), "driver")
+    tasks.start(updater.run(lambda: True), "driver")
 
-    def all_run():
-        engines = driver._engines_by_name.values()
+    def all_current():
+        engines = updater._engines_by_name.values()
         return len(engines) == count and all(
             engine.version == versions.version for engine in engines
         )
 
-    await _common.eventually(all_run)
+    await _common.eventually(all_current)
     for _ in range(RUNS):
         await asyncio.sleep(3)
         started, cpu = time.monotonic(), time.process_time()
         versions.version += 1
-        driver.wake()
-        await _common.eventually(all_run)
+        updater.wake()
+        await _common.eventually(all_current)
         yield time.monotonic() - started, time.process_time() - cpu
     await asyncio.sleep(3)
     cpu = time.process_time()
@@ -108,12 +108,12 @@
 async def _weight_rows():
     async with Directory() as processes:
         options = {"model": MODEL, "swap_ms": SWAP_MS, "report_lag_ms": 0}
-        places = [
+        endpoints = [
             await processes.stand_in(f"engine-{i}", "engine", options)
             for i in range(STAND_INS)
         ]
         for count in UPSTREAMS:
-            *runs, idle = [run async for run in _rollouts(places, count)]
+            *runs, idle = [run async for run in _rollouts(endpoints, count)]
             slowest, cpu_s = max(runs)
             yield count, slowest, 1000 * cpu_s / count, 100 * idle[1] / idle[0]
 
@@ -127,7 +127,7 @@
     sent, received = collections.Counter(), collections.Counter()
     waiting = []
 
-    def spread(host_id):
+    def make_broadcast(host_id):
         def send(target, message):
             sent[host_id] += 1
             received[target] += 1
@@ -136,13 +136,13 @@
         links = SimpleNamespace(send=send)
         return TreeBroadcast(links=links, membership=membership, host_id=host_id)
 
-    spread("host-0").broadcast(VersionPublished(MODEL, 1))
+    make_broadcast("host-0").broadcast(VersionPublished(MODEL, 1))
     hops = 0
     while waiting:
         hops += 1
         level, waiting = waiting, []
         for target, message in level:
-            spread(target).forward(message, message.targets)
+            make_broadcast(target).forward(message, message.targets)
     yield HOSTS, len(received), max(received.values()), max(sent.values()), hops
 
 
