--- a/test/_fleet.py
+++ b/test/_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in memory: a clock that tests advance and a network that they cut."""
+"""An in-memory fleet: a manually advanced clock, and a network with partitions."""
 
 import asyncio
 import collections
@@ -31,7 +31,7 @@
 
     async def sleep_ms(self, duration_ms):
         if duration_ms <= 0:
-            # A wait of nothing takes no time, as on a real clock.
+            # A sleep of zero takes no time, as on a real clock.
             await asyncio.sleep(0)
             return
         future = asyncio.get_running_loop().create_future()
@@ -40,7 +40,7 @@
         await future
 
     async def advance(self, duration_ms, until=None):
-        """Move on in small steps, and stop early once a predicate is true."""
+        """Advance in steps of ``STEP_MS``; stop early once a predicate is true."""
         end_ms = self._now_ms + duration_ms
         while self._now_ms < end_ms:
             await settle()
@@ -56,13 +56,13 @@
 
 
 async def settle():
-    """Let every task run that can."""
+    """Yield to the event loop until the runnable tasks have run."""
     for _ in range(IDLE_TURNS * 4):
         await asyncio.sleep(0)
 
 
 class HostClock(Clock):
-    """One host's clock: while the host is frozen, nothing on it wakes."""
+    """The clock of one host; no sleep returns while the host is frozen."""
 
     __slots__ = ("base", "thawed")
 
@@ -83,7 +83,7 @@
 
 
 class Network:
-    """Links between hosts in memory, with cuts."""
+    """In-memory links between hosts, with partitions."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -92,7 +92,7 @@
         self._groups = []
 
     def cut(self, *groups):
-        """Let only hosts of the same group reach one another."""
+        """Partition the network: only hosts of the same group reach each other."""
         self._groups = [set(group) for group in groups]
 
     def heal(self):
@@ -105,7 +105,7 @@
 
 
 class FakeLinks:
-    """One host's links, with the same methods as the real ones."""
+    """The links of one host, with the methods of ``PeerLinks`` that tests need."""
 
     def __init__(self, network, host_id, clock):
         self._network = network
--- a/test/_front.py
+++ b/test/_front.py
@@ -1,4 +1,4 @@
-"""A small fleet on the users' platform: real daemons, stand-ins around them."""
+"""A small fleet on the users' platform: real daemons with stand-ins."""
 
 import asyncio
 import base64
@@ -18,7 +18,7 @@
 HOST = "app.example"
 MODEL = "m0"
 JOB_PATH = "/lot/x"
-# Longer than a dead runner's jobs take to be taken up and run.
+# Longer than it takes to take over and run the jobs of a dead runner.
 WAIT_S = 20
 FETCH_PATH = "/fetch/x"
 
@@ -82,7 +82,7 @@
 
 
 def item(item_id, group="g0"):
-    """Return an item as it stands in a submission."""
+    """Return an item of a submission."""
     return {
         "id": item_id,
         "path": f"/lot/{item_id}",
@@ -94,7 +94,7 @@
 
 
 def submission(count, prefix="i", min_version=1, **fields):
-    """Return a submission of some items."""
+    """Return a job submission with some items."""
     items = [item(f"{prefix}{n}", f"g{n // 4}") for n in range(count)]
     return {
         "step": 0,
@@ -107,11 +107,11 @@
 
 
 class FrontFleet:
-    """Stand-ins and daemons, to be closed after the test.
+    """Stand-ins and daemon processes; the test must close them.
 
     :ivar store: the :class:`~test.standins.users_store.UsersStore`.
-    :ivar apps: the servers of the application.
-    :ivar engines: the servers with weights.
+    :ivar apps: the application servers.
+    :ivar engines: the engine servers.
     :ivar fronts: the daemons' processes, by name.
     """
 
@@ -134,9 +134,9 @@
     async def start(
         self, names=("front-a", "front-b"), with_configuration=True, zones=None
     ):
-        """Start all, and wait until the daemons are ready.
+        """Start the stand-ins and daemons, and wait until the daemons are ready.
 
-        :param zones: the availability zone of each daemon; one for all when left out.
+        :param zones: the availability zone of each daemon; the same for all by default.
         """
         self.zones = zones or {}
         await self.store.start()
@@ -154,11 +154,11 @@
         return self
 
     def servers(self):
-        """Return every server."""
+        """Return the application and engine servers."""
         return self.apps + self.engines
 
     def start_front(self, name):
-        """Start a daemon, with the ports that it had before."""
+        """Start a daemon, on the ports of its previous start if any."""
         if name not in self.ports:
             self.ports[name] = tuple(_common.free_port() for _ in range(3))
         callers, readiness, metrics = self.ports[name]
@@ -179,7 +179,7 @@
         self.fronts[name] = Process(name, arguments, self._directory.name)
 
     def log_of(self, name):
-        """Return all that a daemon has printed, over all of its starts."""
+        """Return the output of a daemon over all of its starts."""
         return self.fronts[name].log()
 
     def write_settings(self, name, document):
@@ -197,7 +197,7 @@
             await asyncio.sleep(0.3)
 
     async def is_ready(self, name):
-        """Tell whether a daemon says that it is ready."""
+        """Return whether a daemon reports that it is ready."""
         try:
             port = self.ports[name][1]
             answer = await self.http.request("127.0.0.1", port, "GET", "/readiness")
@@ -206,7 +206,7 @@
         return answer.status == 200
 
     async def ask(self, name, method, target, body=b"", request_id="r1", **headers):
-        """Send a daemon one request, on a new connection."""
+        """Send a request to a daemon on a new connection."""
         pairs = [(b"host", HOST.encode()), (b"request-id", request_id.encode())]
         pairs += [
             (key.replace("_", "-").encode(), str(value).encode())
@@ -227,12 +227,12 @@
         )
 
     async def submit(self, name, job_id, count, **fields):
-        """Submit a job and return the answer's status."""
+        """Submit a job and return the status of the response."""
         body = submission(count, **fields)
         return (await self.ask(name, "POST", JOB_PATH, body, job_id)).status
 
     async def results(self, name, job_id, after=0):
-        """Return the page of a job's results, or its status."""
+        """Return a page of a job's results, or the status if it is not 200."""
         answer = await self.ask(name, "GET", f"/lots/{job_id}?after={after}")
         return json.loads(answer.body) if answer.status == 200 else answer.status
 
@@ -257,7 +257,7 @@
         return state["runner"].partition("/")[0] if state else ""
 
     async def close(self):
-        """End everything that was started."""
+        """Stop all processes and servers."""
         await stop_all(self.fronts.values())
         if self._beats is not None:
             self._beats.cancel()
--- a/test/demo.py
+++ b/test/demo.py
@@ -1,6 +1,6 @@
-"""Run a small fleet through a step, app fetches, notes and a command.
+"""Run a step, application fetches, notes and a command on a small fleet.
 
-``make demo`` runs this; it exits with 1 when anything was doubled or lost.
+``make demo`` runs this; the exit code is 1 if anything was duplicated or lost.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
         PoolPlan("lm-pool", "engine", {"zone-a": 1, "zone-b": 1}, MODEL),
         PoolPlan("dash-api", "application", {"zone-a": 1, "zone-b": 1}),
     ),
-    # Short leases, so that the configuration is in force within a second or two.
+    # Short leases, so that the configuration takes effect within one or two seconds.
     settings={
         "configuration": {"poll_ms": 200, "lease_ms": 1000, "lease_margin_ms": 200}
     },
@@ -56,14 +56,14 @@
 
 
 class Tally(msgspec.Struct):
-    """What the run came to, and what went wrong."""
+    """The result lines of the run, and its failures."""
 
     lines: list[str] = []
     faults: list[str] = []
 
 
 async def run_step(fleet, tally):
-    """Run one step as its trainer."""
+    """Submit a step as its trainer and collect its samples."""
     client = TrainerClient(fleet.urls(), TRAINER_TOKEN, STALENESS_BOUND)
     client.version = 1
     groups = [
@@ -90,14 +90,14 @@
 
 
 async def publish_midway(client, step):
-    """Publish new weights once a quarter of the step has come in."""
+    """Publish new weights once a quarter of the samples has arrived."""
     wanted = GROUPS * SAMPLES_PER_GROUP
     await eventually(lambda: len(step.sample_by_slot) >= wanted // 4)
     await client.publish(MODEL, client.version + 1)
 
 
 async def fetch(fleet, tally):
-    """Fetch panels through all hosts in turn."""
+    """Fetch panels through the hosts in round-robin order."""
     headers = {"Authorization": f"Bearer {APP_TOKEN}"}
     whole = 0
     for number in range(FETCHES):
@@ -111,7 +111,7 @@
 
 
 async def save_notes(fleet, tally):
-    """Save notes; the applications' own count is the witness."""
+    """Save notes, and compare with the applications' own counts."""
     client = NotesClient(fleet.urls(), APP_TOKEN)
     saved = 0
     for number in range(NOTES):
@@ -132,7 +132,7 @@
 
 
 async def notes_ran(fleet):
-    """Return how often the applications say that they ran each note."""
+    """Return how often the applications ran each note, by their own counts."""
     count_by_note = collections.Counter()
     for app in fleet.upstreams:
         if app.pool == "dash-api":
@@ -143,7 +143,7 @@
 
 
 async def command(fleet, tally):
-    """Give one operator command."""
+    """Run one operator command."""
     code, output = await fleet.ask("SHOW UPSTREAMS", fleet.hosts[-1].id)
     tally.lines.append(output.rstrip())
     if code:
@@ -151,7 +151,7 @@
 
 
 async def run():
-    """Run everything at once and return the tally."""
+    """Run all parts concurrently and return the tally."""
     tally = Tally()
     async with asyncio.timeout(LIMIT_S), Fleet(PLAN) as fleet:
         await asyncio.gather(
@@ -164,7 +164,7 @@
 
 
 def main():
-    """Print what the run came to."""
+    """Run the demo, print its results and exit."""
     tally = asyncio.run(run())
     print("\n".join(tally.lines))
     for fault in tally.faults:
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -1,6 +1,6 @@
 """A fleet of real processes on loopback: platform, upstreams and daemons.
 
-Each host and upstream has an address of its own, ``127.0.<zone>.<number>``.
+Each host and upstream has its own address, ``127.0.<zone>.<number>``.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 UPSTREAM_NUMBER_BASE = 100
 REGION = "local"
 HTTP_TIMEOUT_S = 5
-# More than any test has calls under way.
+# More than the concurrent calls of any test.
 CALL_THREADS = 128
 MAX_VERSION = 100
 
@@ -32,14 +32,14 @@
 
 
 class PoolPlan(msgspec.Struct, frozen=True):
-    """A pool of stand-ins.
+    """A pool of upstream stand-ins.
 
     :param name: the pool's name.
     :param kind: ``engine`` or ``application``.
-    :param count_by_zone: how many upstreams each zone has.
-    :param model: the model of its engines.
-    :param slots: what each upstream runs at a time.
-    :param options: further settings of the stand-ins.
+    :param count_by_zone: the number of upstreams per availability zone.
+    :param model: the model of the engines.
+    :param slots: the number of requests that each upstream runs concurrently.
+    :param options: additional options of the stand-ins.
     """
 
     name: str
@@ -53,14 +53,14 @@
 class AccountPlan(msgspec.Struct, frozen=True):
     """A client account.
 
-    :param name: its name.
+    :param name: the account's name.
     :param kind: ``trainer`` or ``application``.
-    :param token: what it sends.
-    :param pools: the pools that it may use.
-    :param share: its weight.
-    :param staleness_bound: the most versions that a sample may lag behind.
-    :param zone: where its steps are held.
-    :param terms: further clauses of ``CREATE ACCOUNT``.
+    :param token: the bearer token.
+    :param pools: the pools that the account may use.
+    :param share: the weight of its fair share.
+    :param staleness_bound: the maximum number of versions that a sample may lag behind.
+    :param zone: the availability zone that holds its steps.
+    :param terms: additional clauses of ``CREATE ACCOUNT``.
     """
 
     name: str
@@ -74,13 +74,13 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What a fleet is made of.
+    """The composition of a fleet.
 
-    :param hosts_by_zone: how many daemons each zone has.
+    :param hosts_by_zone: the number of daemons per availability zone.
     :param pools: the pools.
-    :param accounts: the accounts.
-    :param settings: sections that go over every daemon's settings.
-    :param platform: further settings of the platform's stand-in.
+    :param accounts: the client accounts.
+    :param settings: sections that override those of every daemon's settings.
+    :param platform: additional options of the platform stand-in.
     """
 
     hosts_by_zone: dict[str, int]
@@ -91,14 +91,14 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True):
-    """A process's name and place.
-
-    :param id: its name.
-    :param zone: its availability zone.
-    :param address: its address.
-    :param port: the port that it serves HTTP on.
-    :param peer_port: a daemon's port for peers.
-    :param pool: an upstream's pool.
+    """The id, availability zone and addresses of a process.
+
+    :param id: the id of the process.
+    :param zone: the availability zone.
+    :param address: the IP address.
+    :param port: the HTTP port.
+    :param peer_port: the port for peers, for a daemon.
+    :param pool: the pool, for an upstream.
     """
 
     id: str
@@ -110,16 +110,16 @@
 
     @property
     def url(self):
-        """The address as callers write it."""
+        """The base URL for callers."""
         return f"http://{self.address}:{self.port}"
 
 
 class Fleet:
-    """Start a plan's processes; use as an async context manager.
+    """Async context manager that runs the processes of a plan.
 
     :param plan: the :class:`Plan`.
-    :param network: the :class:`~test.network.Network` that the processes meet
-        through; they meet directly when left out.
+    :param network: the :class:`~test.network.Network` through which processes
+        connect; by default they connect directly.
     """
 
     def __init__(self, plan, network=None):
@@ -145,7 +145,7 @@
         await self.close()
 
     async def start(self):
-        """Start everything and wait until every host is ready for callers."""
+        """Start all processes and wait until every host is ready for callers."""
         if self._network is not None:
             await self._add_links()
         await self.start_platform()
@@ -156,7 +156,7 @@
         await asyncio.gather(*(self.wait_ready(h.id) for h in self.hosts))
 
     async def close(self):
-        """End every process by its id and drop the logs."""
+        """Stop all processes and delete their logs."""
         await _process.stop_all(self.process_by_id.values())
         if self._network is not None:
             await self._network.close()
@@ -173,13 +173,13 @@
             await add(upstream.id, upstream.zone, upstream.address, upstream.port)
 
     def _meeting_port(self, target_id, port):
-        """Return the port at which others meet a target."""
+        """Return the port on which other processes reach a target."""
         if self._network is None or target_id not in self._network.links_by_id:
             return port
         return self._network.links_by_id[target_id].port
 
     async def start_platform(self):
-        """Start the platform's stand-in, which lists all hosts and upstreams."""
+        """Start the platform stand-in with a list of all hosts and upstreams."""
         port = self.platform.port or _common.free_port(PLATFORM_ADDRESS)
         self.platform = msgspec.structs.replace(self.platform, port=port)
         if not self.platform_control.port:
@@ -199,7 +199,7 @@
         await self._start_stand_in("platform", "platform", options)
 
     async def start_upstream(self, upstream_id):
-        """Start, or start again, an upstream's stand-in."""
+        """Start or restart an upstream stand-in."""
         endpoint = self.endpoint_by_id[upstream_id]
         pool = self._pool(endpoint.pool)
         kind = "engine" if pool.kind == "engine" else "app"
@@ -212,7 +212,7 @@
         await self._start_stand_in(upstream_id, kind, options)
 
     async def start_host(self, host_id):
-        """Start, or start again, a daemon, and wait until it serves."""
+        """Start or restart a daemon, and wait until it serves requests."""
         path = self.directory / f"{host_id}.json"
         path.write_text(json.dumps(self.settings_of(host_id), indent=4))
         arguments = ["goldcrestmoor", "serve", str(path)]
@@ -221,7 +221,7 @@
         await self._wait_for(host_id, "/healthz")
 
     async def wait_ready(self, host_id):
-        """Wait until a host tells the balancer that it is ready."""
+        """Wait until a host reports readiness to the load balancer."""
         await self._wait_for(host_id, "/readyz")
 
     def settings_of(self, host_id):
@@ -254,7 +254,7 @@
     def listed_hosts(self, state_by_id=None):
         """Return the platform's list of hosts and upstreams.
 
-        :param state_by_id: states other than ``live``.
+        :param state_by_id: the states that differ from ``live``, by id.
         """
         states = state_by_id or {}
         return [
@@ -271,28 +271,28 @@
         ]
 
     def upstream_place(self, upstream_id):
-        """Return the address and port at which the daemons find an upstream."""
+        """Return the address and port on which daemons reach an upstream."""
         e = self.endpoint_by_id[upstream_id]
         return e.address, self._meeting_port(upstream_id, e.port)
 
     def urls(self, zone=None):
-        """Return the hosts' addresses for clients, of one zone or of all."""
+        """Return the base URLs of all hosts, or of those in one availability zone."""
         return [h.url for h in self.hosts if zone in (None, h.zone)]
 
     async def ask(self, command, host_id=None, *, is_json=False):
-        """Give one operator command through the command line.
+        """Run an operator command through the command line.
 
         :param command: the command's text.
-        :param host_id: the host to ask; the first when left out.
-        :return: the exit code and what was printed.
+        :param host_id: the host that receives the command; the first by default.
+        :return: the exit code and the output.
         """
         extra = [f"--json={is_json}"] if is_json else []
         return await self._ask([command, *extra], host_id)
 
     async def ask_file(self, text, host_id=None):
-        """Give the commands of a text through the command line.
+        """Run operator commands from a file through the command line.
 
-        :raises AssertionError: when they were not all accepted.
+        :raises AssertionError: if a command was rejected.
         """
         path = self.directory / "commands.txt"
         path.write_text(text)
@@ -320,15 +320,15 @@
         return code, process.log()
 
     def kill(self, process_id):
-        """End a process at once."""
+        """Kill a process with SIGKILL."""
         self.process_by_id[process_id].kill()
 
     def freeze(self, process_id):
-        """Stop a process without its noticing."""
+        """Freeze a process with SIGSTOP."""
         self.process_by_id[process_id].freeze()
 
     def thaw(self, process_id):
-        """Let a frozen process go on."""
+        """Resume a frozen process with SIGCONT."""
         self.process_by_id[process_id].thaw()
 
     def terminate(self, process_id):
@@ -336,17 +336,17 @@
         self.process_by_id[process_id].terminate()
 
     async def get_json(self, endpoint, path):
-        """Return the decoded answer of a stand-in or daemon, or None."""
+        """Return the decoded JSON response, or None if the status is not 200."""
         status, body = await http_get(f"{endpoint.url}{path}")
         return json.loads(body) if status == 200 else None
 
     async def control(self, endpoint, name, **body):
-        """Change a stand-in by its ``/control/...`` routes.
+        """Control a stand-in by its ``/control/...`` routes.
 
         :param endpoint: the stand-in; ``platform_control`` for the platform.
-        :param name: the control's name, such as ``outage`` or ``set``.
-        :param body: its body's fields.
-        :raises AssertionError: when the stand-in refuses.
+        :param name: the last part of the route, such as ``outage`` or ``set``.
+        :param body: the fields of the request body.
+        :raises AssertionError: if the stand-in does not respond with 200.
         """
         url = f"{endpoint.url}/control/{name}"
         status, answer = await http_post(url, json.dumps(body).encode())
@@ -411,7 +411,7 @@
     """Return the commands that create a plan's pools, upstreams and accounts.
 
     :param plan: the :class:`Plan`.
-    :param fleet: gives each upstream's place.
+    :param fleet: the :class:`Fleet` that has the upstreams' addresses.
     """
     lines = []
     pool_by_name = {pool.name: pool for pool in plan.pools}
@@ -437,18 +437,18 @@
 
 
 async def http_get(url, headers=None, timeout_ms=HTTP_TIMEOUT_S * MS_PER_SECOND):
-    """Send one GET request.
+    """Send a GET request.
 
-    :return: the status, or None when there was no answer, and the body.
+    :return: the status, or None without a response, and the body.
     """
     request = urllib.request.Request(url, headers=headers or {})
     return await _in_thread(_send, request, timeout_ms)
 
 
 async def http_post(url, body, headers=None, timeout_ms=HTTP_TIMEOUT_S * MS_PER_SECOND):
-    """Send one POST request.
+    """Send a POST request.
 
-    :return: the status, or None when there was no answer, and the body.
+    :return: the status, or None without a response, and the body.
     """
     request = urllib.request.Request(url, body, headers or {}, method="POST")
     return await _in_thread(_send, request, timeout_ms)
@@ -467,10 +467,10 @@
 
 
 async def _in_thread(call, *arguments):
-    """Run a blocking call beside all the others that a test has under way.
+    """Run a blocking call in the shared thread pool.
 
-    The loop's own pool has four threads more than the machine has cores: a test that
-    keeps a dozen streams open would wait behind them with everything else.
+    The event loop's default pool has only four threads more than the machine has
+    cores: a dozen open streams of a test would block all of its other calls.
     """
     loop = asyncio.get_running_loop()
     return await loop.run_in_executor(_threads, call, *arguments)
--- a/test/network.py
+++ b/test/network.py
@@ -1,7 +1,7 @@
-"""The network of a fleet: a link in front of each target, and cuts between zones.
+"""The network of a fleet: a proxy link per target, and partitions between zones.
 
-Every host's connections go out from its own address ``127.0.<zone>.<n>``, so that a
-link knows its sources and can block those of some zones only.
+Every host connects from its own address ``127.0.<zone>.<n>``, so that a link can
+identify the source of a connection and block single availability zones.
 """
 
 from test import _common
@@ -11,7 +11,7 @@
 
 
 class Network:
-    """Links by the target's id, for a fleet of :mod:`test.fleet`.
+    """The links of a fleet of :mod:`test.fleet`, by target id.
 
     :ivar links_by_id: the :class:`~test.fault_proxy.Link` in front of each host's
         peer port, each upstream and the platform.
@@ -23,14 +23,14 @@
         self._prefix_by_zone = {}
 
     async def add(self, target_id, zone, address, port, listen_address=None):
-        """Put a link in front of a target and return it.
+        """Start a link in front of a target and return it.
 
         :param target_id: the host, the upstream or ``platform``.
         :param zone: its availability zone; empty for the platform.
         :param address: the target's address.
         :param port: the target's port.
-        :param listen_address: where the link listens; at the target's address when
-            left out.
+        :param listen_address: the address on which the link listens; the target's
+            address by default.
         """
         listen_address = listen_address or address
         link = Link(address, port, listen_address, _common.free_port(listen_address))
@@ -47,11 +47,11 @@
             await link.close()
 
     def cut(self, zone, *, from_platform=True, from_zones=True):
-        """Cut an availability zone off.
+        """Partition an availability zone.
 
         :param zone: the zone.
-        :param from_platform: whether it loses the platform.
-        :param from_zones: whether it loses the other zones.
+        :param from_platform: whether the zone loses the platform.
+        :param from_zones: whether the zone loses the other zones.
         """
         own = self._prefix_by_zone[zone]
         others = {p for p in self._prefix_by_zone.values() if p != own}
@@ -65,6 +65,6 @@
                 link.block({own})
 
     def mend(self):
-        """Take every cut between zones back."""
+        """Remove all partitions."""
         for link in self.links_by_id.values():
             link.block(())
--- a/test/slopes.py
+++ b/test/slopes.py
@@ -1,4 +1,4 @@
-"""Measure what a daemon costs: ``python -m test.slopes [PART ...]``."""
+"""Run the benchmarks of a daemon: ``python -m test.slopes [PART ...]``."""
 
 import importlib
 import sys
@@ -15,13 +15,13 @@
 
 
 def main(parts):
-    """Run parts of the measurement, each of which prints its tables.
+    """Run benchmarks, each of which prints its tables.
 
-    :param parts: names from :data:`PARTS`; all of them when empty.
+    :param parts: names from :data:`PARTS`; all if empty.
     """
     for part in parts or PARTS:
         if part not in PARTS:
-            sys.exit(f"There is no part {part}; the parts are {', '.join(PARTS)}.")
+            sys.exit(f"Unknown part {part}; valid parts are {', '.join(PARTS)}.")
         print(f"\n== python -m test.slopes {part}")
         importlib.import_module(f"test.bench.{part}").run()
 
--- a/test/test_fleet.py
+++ b/test/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's processes are placed, signalled and ended one by one."""
+"""Tests of the test fleet: addresses, signals and stops of its processes."""
 
 import json
 import shutil
--- a/test/test_front.py
+++ b/test/test_front.py
@@ -1,4 +1,4 @@
-"""Daemons on the users' platform, as real processes against stand-ins."""
+"""Daemons on the users' platform, as real processes with stand-ins."""
 
 import asyncio
 import base64
@@ -25,7 +25,7 @@
         self.addAsyncCleanup(self.fleet.close)
 
     async def listed(self):
-        """Wait until both services' servers are known everywhere."""
+        """Wait until every host serves requests for the application."""
         for name in self.fleet.fronts:
             await _common.eventually(lambda name=name: self.answers(name))
 
@@ -144,8 +144,8 @@
         self.assertEqual(len(results), 8)
 
     async def test_a_job_is_accepted_while_objects_are_slow(self):
-        # A store that is sixty times slower than usual takes 1.5 s for an object,
-        # which is longer than submitters wait.
+        # A store that is 60 times slower than usual takes 1.5 s per object call, longer
+        # than the timeout of submitters.
         await self.fleet.start()
         self.fleet.store.object_ms = 1500
         async with asyncio.timeout(1):
@@ -160,7 +160,7 @@
             self.assertEqual(len(await self.fleet.all_results("front-b", "j1")), 8)
 
     async def test_a_slow_store_is_not_pressed(self):
-        """Sixty times slower: three transactions a second, a quarter of one a read."""
+        """60 times slower: three transactions per second, 240 ms per read."""
         await self.fleet.start()
         await self.listed()
         store = self.fleet.store
@@ -194,13 +194,13 @@
         self.fleet.store.turned_away.add("front-a")
         await _common.eventually(lambda: self.is_unready("front-a"), timeout_s=4)
         self.assertTrue(await self.fleet.is_ready("front-b"))
-        # What needs no store is still served there.
+        # Requests that need no store are still served.
         self.assertTrue(await self.answers("front-a"))
         self.fleet.store.turned_away.clear()
         await _common.eventually(lambda: self.fleet.is_ready("front-a"), timeout_s=5)
 
     async def test_a_runner_that_alone_loses_the_store_goes_round(self):
-        """Other hosts pass its calls on: its jobs stay, and it takes new ones."""
+        """Other hosts relay its calls: it keeps its jobs and accepts new ones."""
         await self.fleet.start(names=("front-a", "front-b", "front-c"))
         for engine in self.fleet.engines:
             engine.events = 1000
@@ -445,7 +445,8 @@
             return await self.fleet.results("front-b", "j1") == 404
 
         await _common.eventually(is_gone, timeout_s=15)
-        # The feed tells the other host within its pause and a slow turn of its loop.
+        # The change feed updates the other host within the pause between reads and one
+        # slow iteration of its loop.
         await _common.eventually(is_unknown, timeout_s=1)
 
     async def test_changed_settings_are_read_again_and_wrong_ones_kept_out(self):
@@ -464,7 +465,7 @@
     async def test_metrics_are_served_on_their_own_port(self):
         await self.fleet.start(names=("front-a",))
         await self.listed()
-        # More than the engines have slots, so that some wait.
+        # More items than engine slots, so that some wait.
         await self.fleet.submit("front-a", "j1", 20)
         await self.fleet.all_results("front-a", "j1")
         await self.fleet.ask("front-a", "POST", "/nowhere/x", b"x")
--- a/test/test_front_faults.py
+++ b/test/test_front_faults.py
@@ -1,4 +1,4 @@
-"""What daemons on the users' platform keep when hosts end, freeze and come back."""
+"""Daemons on the users' platform through crashes, process freezes and restarts."""
 
 import asyncio
 import time
@@ -19,12 +19,12 @@
         self.addAsyncCleanup(self.fleet.close)
 
     def end_all(self):
-        """Have all hosts lose power at once."""
+        """Kill all hosts at once, as in a power loss."""
         for process in self.fleet.fronts.values():
             process.kill()
 
     async def start_all(self, names=NAMES):
-        """Start all hosts again, under the names that they had."""
+        """Restart the hosts under their previous names; wait until they are ready."""
         for name in names:
             self.fleet.start_front(name)
         for name in names:
@@ -38,7 +38,7 @@
             self.assertEqual(result["text"], whole_text(result["id"], events))
 
     async def first_results(self, name, job_id):
-        """Return the first results of a job that a host lists, once there are some."""
+        """Wait until a host lists results of a job, and return them."""
 
         async def some():
             page = await self.fleet.results(name, job_id)
@@ -47,7 +47,7 @@
         return (await _common.eventually(some, 20))["results"]
 
     async def listed(self):
-        """Wait until the application's servers are known everywhere."""
+        """Wait until every host serves requests for the application."""
 
         async def answers(name):
             answer = await self.fleet.ask(name, "POST", FETCH_PATH, b"x", "probe")
@@ -71,7 +71,7 @@
         await self.fleet.start(names=NAMES)
         for n, engine in enumerate(self.fleet.engines):
             engine.events = EVENTS
-            # Half of the items end early, the others are under way.
+            # Streams of the first engine are cut early; those of the other take longer.
             engine.cut_after = None if n else 20
         await self.fleet.submit("front-a", "j1", 8)
 
@@ -100,7 +100,7 @@
             for engine, count in zip(self.fleet.engines, seen, strict=True)
             for run in engine.runs[count:]
         ]
-        # Both jobs name their items alike, so that only four may have begun.
+        # Both jobs use the same item ids, so only the four of the second may start.
         self.assertEqual(len(later), 4, later)
 
     async def test_a_configuration_is_in_force_on_the_hosts_that_come_back(self):
@@ -140,7 +140,7 @@
 
 class OrdersTest(FaultCase):
     async def test_two_hosts_never_take_turns_at_an_engine(self):
-        """The giver of orders hands its duty over while versions are named quickly."""
+        """The host that sends load orders hands over while target versions change."""
         await self.fleet.start(names=NAMES)
         await self.fleet.submit("front-a", "j0", 4)
         await self.fleet.all_results("front-a", "j0")
@@ -172,7 +172,7 @@
             self.assertGreater(after["fence"], before["fence"])
 
     async def test_an_engine_that_was_started_again_under_its_id_follows(self):
-        """Its count of orders begins anew, and it lost the version on the way."""
+        """The restarted engine counts load orders from 0 and has the first version."""
         await self.fleet.start(names=("front-a",))
         await self.fleet.submit("front-a", "j0", 4)
         await self.fleet.all_results("front-a", "j0")
@@ -191,7 +191,7 @@
 
 class ReusedAddressTest(FaultCase):
     async def test_another_service_at_a_gone_servers_address_runs_nothing(self):
-        """The entry of the server that is gone is still listed when it happens."""
+        """The address is reused while the stopped server is still listed."""
         await self.fleet.start(names=("front-a",))
         await self.listed()
         gone, kept = self.fleet.apps
@@ -206,4 +206,4 @@
             self.assertEqual(answer.status, 200, answer)
         self.assertLess(time.monotonic() - started_s, 5)
         self.assertEqual(stranger.runs, [])
-        self.assertTrue(stranger.seen, "no request met the address")
+        self.assertTrue(stranger.seen, "no request reached the address")
