--- a/test/bench/caller.py
+++ b/test/bench/caller.py
@@ -33,8 +33,8 @@
     """
 
     def __init__(self, kind, endpoint, tokens):
-        self.first_chunk_us = HdrHistogram(1, MAX_US, 3)
-        self.total_us = HdrHistogram(1, MAX_US, 3)
+        self.first = HdrHistogram(1, MAX_US, 3)
+        self.whole = HdrHistogram(1, MAX_US, 3)
         self.calls = self.events = self.failures = 0
         self._call = self._fetch if kind == "fetch" else self._stream
         self._endpoint = endpoint
@@ -51,7 +51,7 @@
         while time.monotonic() < end:
             started = time.perf_counter()
             await self._call(number, started)
-            self.total_us.record_value(_since(started))
+            self.whole.record_value(_since(started))
             self.calls += 1
 
     async def _fetch(self, number, started):
@@ -74,7 +74,7 @@
         async with opened as answer:
             async for chunk in answer.body():
                 if not events:
-                    self.first_chunk_us.record_value(_since(started))
+                    self.first.record_value(_since(started))
                 events += chunk.count(b"data:")
                 is_whole = b"[DONE]" in chunk
         self.events += events - 1
@@ -85,8 +85,8 @@
         percentiles = {
             f"{name}_{p}": histogram.get_value_at_percentile(p)
             for name, histogram in (
-                ("first", self.first_chunk_us),
-                ("whole", self.total_us),
+                ("first", self.first),
+                ("whole", self.whole),
             )
             for p in (50, 99)
         }
--- a/test/bench/control.py
+++ b/test/bench/control.py
@@ -135,7 +135,7 @@
         await links.close()
 
 
-def upstream_entries(count):
+def listed(count):
     """Return entries of the platform's host list, all of them upstreams."""
     return [
         {
@@ -155,7 +155,7 @@
     async with Directory() as processes:
         options = {"host_lag_ms": 0}
         address, port = await processes.stand_in("platform", "platform", options)
-        body = json.dumps({"hosts": upstream_entries(LISTED)}).encode()
+        body = json.dumps({"hosts": listed(LISTED)}).encode()
         await http_post(f"http://{address}:{port}/control/hosts", body)
         settings = _common.make_settings(platform={"address": address, "port": port})
         metrics, clock = Metrics(), Clock()
--- a/test/bench/fleets.py
+++ b/test/bench/fleets.py
@@ -7,7 +7,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from test import fleet
-from test.bench.control import LISTED, upstream_entries
+from test.bench.control import LISTED, listed
 from test.bench.table import show, slope
 
 SIZES = (2, 4, 8, 16, 32)
@@ -96,7 +96,7 @@
 async def grow_list(running):
     """Extend the platform's host list to ``LISTED`` entries with unused upstreams."""
     hosts = running.listed_hosts()
-    more = upstream_entries(max(0, LISTED - len(hosts)))
+    more = listed(max(0, LISTED - len(hosts)))
     await running.control(running.platform_control, "hosts", hosts=hosts + more)
 
 
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -24,7 +24,7 @@
 from goldcrestmoor.version.steps.step_state import StepState
 from goldcrestmoor.version.steps.steps import GroupSpec, Slot, StepSpec, make_sample
 from test import _common, _request_fakes as fakes
-from test.bench.control import upstream_entries
+from test.bench.control import listed
 from test.bench.table import show
 
 ITEMS = 1000
@@ -49,7 +49,7 @@
 
 
 async def _listed(clock):
-    return msgspec.convert(upstream_entries(ITEMS), list[ListedHost])
+    return msgspec.convert(listed(ITEMS), list[ListedHost])
 
 
 async def _client_grants(clock):
--- a/test/standins/engine.py
+++ b/test/standins/engine.py
@@ -229,17 +229,15 @@
     async def _stream(self, body, request_id):
         self.running += 1
         self.started += 1
-        stream_number = self.started
+        run = self.started
         self.max_running = max(self.max_running, self.running)
         completed = False
         try:
-            prompt, resume_text = body["prompt"], body.get("resume_text", "")
-            uncached = self.cache.count_uncached((prompt + " " + resume_text).split())
+            prompt, resumed = body["prompt"], body.get("resume_text", "")
+            uncached = self.cache.count_uncached((prompt + " " + resumed).split())
             self.prefilled += uncached
             await asyncio.sleep(uncached * self.options.prompt_token_ms / 1000)
-            async for event in self._events(
-                body, prompt, resume_text, request_id, stream_number
-            ):
+            async for event in self._events(body, prompt, resumed, request_id, run):
                 yield event
             if self.options.end_mark:
                 yield b"data: [DONE]\n\n"
@@ -249,9 +247,9 @@
             self.cancelled += not completed
             self.running -= 1
 
-    async def _events(self, body, prompt, resume_text, request_id, stream_number):
+    async def _events(self, body, prompt, resumed, request_id, run):
         options = self.options
-        start = len(resume_text.split())
+        start = len(resumed.split())
         end = start + body["max_tokens"]
         reason = "length"
         if options.mean_tokens:
@@ -272,9 +270,7 @@
             self.tokens += 1
             text = token_text(prompt, body["seed"], index)
             if options.tagged:
-                text = (
-                    f"{text.rstrip()}.{options.version}.{options.port}-{stream_number} "
-                )
+                text = f"{text.rstrip()}.{options.version}.{options.port}-{run} "
             choice = {"text": text}
             choice["finish_reason"] = reason if index == end - 1 else None
             event = {"choices": [choice], "tokens": 1}
