--- a/test/_front.py
+++ b/test/_front.py
@@ -127,7 +127,7 @@
         self.log_style = "text"
         self.documents = {}
         self._directory = tempfile.TemporaryDirectory()
-        self._beats = None
+        self._heartbeat_task = None
         self.silent = set()
         self.http = HttpClient(clock=Clock(), limits=settings.default_limits())
 
@@ -144,7 +144,7 @@
             await server.start()
         if with_configuration:
             self.store.put("op", "config", configuration())
-        self._beats = asyncio.create_task(self._beat())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
         for name in names:
             self.gates[name] = await self.store.gate(name)
             self.start_front(name)
@@ -189,7 +189,7 @@
         path.write_text(json.dumps(document))
         return path
 
-    async def _beat(self):
+    async def _send_heartbeats(self):
         while True:
             for server in self.servers():
                 if server.name not in self.silent:
@@ -259,8 +259,8 @@
     async def close(self):
         """Stop all processes and servers."""
         await stop_all(self.fronts.values())
-        if self._beats is not None:
-            self._beats.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         await self.http.close()
         for server in self.servers():
             await server.close()
--- a/test/demo.py
+++ b/test/demo.py
@@ -71,13 +71,13 @@
         for i in range(GROUPS)
     ]
     step = await client.submit("demo-1", "lm-pool", groups, STEP_TIMEOUT_MS)
-    _, got = await asyncio.gather(
+    _, samples = await asyncio.gather(
         publish_midway(client, step), client.collect(step, STEP_TIMEOUT_MS)
     )
     wanted = GROUPS * SAMPLES_PER_GROUP
-    doubled, lost = client.dropped_held, wanted - len(got)
+    doubled, lost = client.dropped_held, wanted - len(samples)
     tally.lines.append(
-        f"samples delivered {len(got)} of {wanted}, doubled {doubled}, lost {lost}"
+        f"samples delivered {len(samples)} of {wanted}, doubled {doubled}, lost {lost}"
     )
     if doubled or lost:
         tally.faults.append("A sample was doubled or lost.")
--- a/test/fleet.py
+++ b/test/fleet.py
@@ -128,8 +128,8 @@
         self.process_by_id = {}
         self.platform = Endpoint("platform", "", PLATFORM_ADDRESS, 0)
         self.platform_control = self.platform
-        self.hosts = self._place_hosts()
-        self.upstreams = self._place_upstreams()
+        self.hosts = self._assign_host_endpoints()
+        self.upstreams = self._assign_upstream_endpoints()
         self.endpoint_by_id = {e.id: e for e in (*self.hosts, *self.upstreams)}
         self._network = network
 
@@ -172,7 +172,7 @@
         for upstream in self.upstreams:
             await add(upstream.id, upstream.zone, upstream.address, upstream.port)
 
-    def _meeting_port(self, target_id, port):
+    def _reachable_port(self, target_id, port):
         """Return the port on which other processes reach a target."""
         if self._network is None or target_id not in self._network.links_by_id:
             return port
@@ -227,13 +227,13 @@
     def settings_of(self, host_id):
         """Return a daemon's settings document."""
         host = self.endpoint_by_id[host_id]
-        port = self._meeting_port(PLATFORM, self.platform.port)
+        port = self._reachable_port(PLATFORM, self.platform.port)
         peers = [
             {
                 "id": peer.id,
                 "zone": peer.zone,
                 "address": peer.address,
-                "peer_port": self._meeting_port(peer.id, peer.peer_port),
+                "peer_port": self._reachable_port(peer.id, peer.peer_port),
             }
             for peer in self.hosts
             if peer.id != host_id
@@ -245,7 +245,7 @@
             "address": host.address,
             "http_port": host.port,
             "peer_port": host.peer_port,
-            "advertised_peer_port": self._meeting_port(host.id, host.peer_port),
+            "advertised_peer_port": self._reachable_port(host.id, host.peer_port),
         }
         document["platform"] |= {"address": PLATFORM_ADDRESS, "port": port}
         document["peers"] = peers
@@ -264,7 +264,7 @@
                 "zone": e.zone,
                 "address": e.address,
                 "http_port": e.port,
-                "peer_port": self._meeting_port(e.id, e.peer_port),
+                "peer_port": self._reachable_port(e.id, e.peer_port),
                 "state": states.get(e.id, "live"),
             }
             for e in (*self.hosts, *self.upstreams)
@@ -273,7 +273,7 @@
     def upstream_place(self, upstream_id):
         """Return the address and port on which daemons reach an upstream."""
         e = self.endpoint_by_id[upstream_id]
-        return e.address, self._meeting_port(upstream_id, e.port)
+        return e.address, self._reachable_port(upstream_id, e.port)
 
     def urls(self, zone=None):
         """Return the base URLs of all hosts, or of those in one availability zone."""
@@ -379,7 +379,7 @@
     def _pool(self, name):
         return next(pool for pool in self.plan.pools if pool.name == name)
 
-    def _place_hosts(self):
+    def _assign_host_endpoints(self):
         hosts = []
         for number, (zone, count) in enumerate(self.plan.hosts_by_zone.items(), 1):
             for index in range(1, count + 1):
@@ -388,7 +388,7 @@
                 hosts.append(Endpoint(f"{zone}-{index}", zone, address, *ports))
         return hosts
 
-    def _place_upstreams(self):
+    def _assign_upstream_endpoints(self):
         upstreams = []
         zones = list(self.plan.hosts_by_zone)
         next_by_zone = dict.fromkeys(zones, UPSTREAM_NUMBER_BASE)
--- a/test/test_front_faults.py
+++ b/test/test_front_faults.py
@@ -18,7 +18,7 @@
         self.fleet = FrontFleet()
         self.addAsyncCleanup(self.fleet.close)
 
-    def end_all(self):
+    def kill_all(self):
         """Kill all hosts at once, as in a power loss."""
         for process in self.fleet.fronts.values():
             process.kill()
@@ -30,7 +30,7 @@
         for name in names:
             await _common.eventually(lambda name=name: self.fleet.is_ready(name))
 
-    def check_whole(self, results, count):
+    def check_complete(self, results, count):
         self.assertEqual(len({r["id"] for r in results}), count)
         self.assertEqual(len(results), count)
         for result in results:
@@ -63,9 +63,9 @@
     async def test_an_accepted_job_is_run_by_the_hosts_that_come_back(self):
         await self.fleet.start(names=NAMES)
         self.assertEqual(await self.fleet.submit("front-a", "j1", 8), 202)
-        self.end_all()
+        self.kill_all()
         await self.start_all()
-        self.check_whole(await self.fleet.all_results("front-b", "j1"), 8)
+        self.check_complete(await self.fleet.all_results("front-b", "j1"), 8)
 
     async def test_a_result_that_was_read_comes_again_where_it_was(self):
         await self.fleet.start(names=NAMES)
@@ -76,11 +76,11 @@
         await self.fleet.submit("front-a", "j1", 8)
 
         first = await self.first_results("front-b", "j1")
-        self.end_all()
+        self.kill_all()
         await self.start_all()
         results = await self.fleet.all_results("front-a", "j1")
         self.assertEqual(results[: len(first)], first)
-        self.check_whole(results, 8)
+        self.check_complete(results, 8)
 
     async def test_nothing_of_a_job_that_was_ended_runs_again(self):
         await self.fleet.start(names=NAMES)
@@ -90,7 +90,7 @@
         await _common.eventually(lambda: any(e.runs for e in self.fleet.engines))
         answer = await self.fleet.ask("front-b", "DELETE", "/lots/j1", b"", "end")
         self.assertLess(answer.status, 300)
-        self.end_all()
+        self.kill_all()
         seen = [len(engine.runs) for engine in self.fleet.engines]
         await self.start_all()
         self.assertEqual(await self.fleet.submit("front-a", "j2", 4), 202)
@@ -111,7 +111,7 @@
         self.fleet.store.put(
             "op", "config", document | {"version": 9, "routes": routes}
         )
-        self.end_all()
+        self.kill_all()
         await self.start_all()
         answer = await self.fleet.ask("front-a", "POST", FETCH_PATH, b"x", "r1")
         self.assertEqual(answer.status, 404)
@@ -133,7 +133,7 @@
         self.fleet.fronts[frozen].thaw()
         results = await self.fleet.all_results(other, "j1")
         self.assertEqual(results[: len(first)], first)
-        self.check_whole(results, 12)
+        self.check_complete(results, 12)
         self.assertEqual(await self.fleet.all_results(frozen, "j1"), results)
         self.assertEqual(self.fleet.runner_of("j1"), other)
 
@@ -144,23 +144,27 @@
         await self.fleet.start(names=NAMES)
         await self.fleet.submit("front-a", "j0", 4)
         await self.fleet.all_results("front-a", "j0")
-        giver = self.fleet.runner_of("j0")
-        other = next(name for name in NAMES if name != giver)
+        order_sender = self.fleet.runner_of("j0")
+        other = next(name for name in NAMES if name != order_sender)
         for version in (2, 3):
             self.fleet.store.put(
                 "op", f"version/{MODEL}", {"model": MODEL, "version": version}
             )
             await asyncio.sleep(0.5)
         await _common.eventually(lambda: any(e.orders for e in self.fleet.engines))
-        self.fleet.fronts[giver].terminate()
+        self.fleet.fronts[order_sender].terminate()
         self.fleet.store.put("op", f"version/{MODEL}", {"model": MODEL, "version": 4})
         self.assertEqual(await self.fleet.submit(other, "j1", 4, min_version=3), 202)
         await _common.eventually(
             lambda: all(e.models[MODEL] == 4 for e in self.fleet.engines), 30
         )
-        turn_ms = self.fleet.documents[giver].get("orders", {}).get("turn_ms", 3000)
+        turn_ms = (
+            self.fleet.documents[order_sender].get("orders", {}).get("turn_ms", 3000)
+        )
         for engine in self.fleet.engines:
-            self.assertEqual({o["holder"] for o in engine.orders}, {giver, other})
+            self.assertEqual(
+                {o["holder"] for o in engine.orders}, {order_sender, other}
+            )
             self.check_turns(engine, turn_ms)
 
     def check_turns(self, engine, turn_ms):
@@ -196,14 +200,14 @@
         await self.listed()
         gone, kept = self.fleet.apps
         self.fleet.silent.add(gone.name)
-        stranger = UsersServer("stranger-0", "other")
+        other_server = UsersServer("stranger-0", "other")
         await gone.close()
-        await stranger.start(port=gone.port)
-        self.addAsyncCleanup(stranger.close)
+        await other_server.start(port=gone.port)
+        self.addAsyncCleanup(other_server.close)
         started_s = time.monotonic()
         for n in range(20):
             answer = await self.fleet.ask("front-a", "POST", FETCH_PATH, b"x", f"r{n}")
             self.assertEqual(answer.status, 200, answer)
         self.assertLess(time.monotonic() - started_s, 5)
-        self.assertEqual(stranger.runs, [])
-        self.assertTrue(stranger.seen, "no request reached the address")
+        self.assertEqual(other_server.runs, [])
+        self.assertTrue(other_server.seen, "no request reached the address")
