--- a/test/bench/control.py
+++ b/test/bench/control.py
@@ -1,4 +1,4 @@
-"""What single control messages and reads of the platform cost."""
+"""Measure the cost of single control messages and of reads from the platform."""
 
 import asyncio
 import json
@@ -41,8 +41,8 @@
 HEAD_BYTES = 1200
 
 
-def record(i=0):
-    """Return a host's record as it travels."""
+def host_record(i=0):
+    """Return a host record as in a membership message."""
     return HostRecord(
         f"szeged-a-{i}", "szeged-a", "hu-south", "10.1.2.3", 8080, 9090, 1 << 40,
         HostState.ALIVE,
@@ -50,13 +50,17 @@
 
 
 def _messages():
-    news = tuple(record(i) for i in range(6))
+    updates = tuple(host_record(i) for i in range(6))
     grant = "szeged-a-1/" + "0" * 24
     held = HeldGrant(grant, "lm-pool-1", "trainer", 500)
     targets = tuple(f"szeged-a-{i}" for i in range(43))
     return (
-        ("probe, no news", Probe(record()), ProbeAnswer(record())),
-        ("probe, 6 news", Probe(record(), news), ProbeAnswer(record(), news)),
+        ("probe, no updates", Probe(host_record()), ProbeAnswer(host_record())),
+        (
+            "probe, 6 updates",
+            Probe(host_record(), updates),
+            ProbeAnswer(host_record(), updates),
+        ),
         (
             "acquire",
             Acquire(grant, "lm-pool-1", "trainer", "trainer", 1, 500, 9000, "0" * 24),
@@ -71,12 +75,12 @@
 
 
 class _Links:
-    """Two hosts' links in one process, so that costs hold for both ends."""
+    """The peer links of two hosts in one process; CPU time covers both ends."""
 
     def __init__(self):
         peer = _common.make_settings(PEER_ID)
         own = _common.make_settings("host-a1")
-        self.place = (peer.host.address, peer.host.peer_port)
+        self.endpoint = (peer.host.address, peer.host.peer_port)
         self.sender, self.peer = self._make(own), self._make(peer)
         self.received = asyncio.Semaphore(0)
 
@@ -84,7 +88,7 @@
         return PeerLinks(
             clock=Clock(),
             settings=settings,
-            directory=lambda host_id: self.place,
+            directory=lambda host_id: self.endpoint,
             metrics=Metrics(),
         )
 
@@ -132,7 +136,7 @@
 
 
 def listed(count):
-    """Return the platform's list with some upstreams."""
+    """Return entries of the platform's host list, all of them upstreams."""
     return [
         {
             "id": f"lm-pool-{i}",
@@ -192,12 +196,12 @@
 
 async def _run():
     rows = [row async for row in _peer_rows()]
-    columns = ("message", "body bytes", "bytes with frames and answer", "cpu us")
+    columns = ("message", "body bytes", "bytes with frames and reply", "cpu us")
     show("Messages between hosts: both ends together, with CURVE", columns, rows)
     rows = [row async for row in _read_rows()]
     show("Reads of the platform, one end", ("read", "bytes", "cpu us"), rows)
 
 
 def run():
-    """Print the cost of each message and read."""
+    """Print the size and CPU time of each message and read."""
     asyncio.run(_run())
--- a/test/bench/hop.py
+++ b/test/bench/hop.py
@@ -1,4 +1,4 @@
-"""What one hop through a daemon costs, beside a direct call and a bare forwarder."""
+"""Compare a hop through a daemon with a direct call and a minimal proxy."""
 
 import asyncio
 import json
@@ -19,12 +19,12 @@
 PACED = {"token_ms": 20, "batch_slowdown": 0}
 UNPACED = {"token_ms": 0}
 PACED_CALLERS = 100
-WAYS = ("direct", "forwarder", "daemon")
+ROUTES = ("direct", "forwarder", "daemon")
 LIMITS = {"max_queue_per_upstream": 1024}
 
 
 def plan():
-    """Return a fleet of one daemon before fast stand-ins."""
+    """Return the plan of a fleet with one daemon and fast stand-ins as upstreams."""
     pools = (
         fleet.PoolPlan("dash", "application", {"zone-a": 2}),
         fleet.PoolPlan(
@@ -50,13 +50,13 @@
     """One daemon, one forwarder and their upstreams.
 
     :param running: the fleet.
-    :param processes: the :class:`Directory` of the callers.
+    :param processes: the :class:`Directory` that starts the forwarder and callers.
     """
 
     def __init__(self, running, processes):
         self._running = running
         self._processes = processes
-        self._places = {}
+        self._endpoints = {}
         self._started = 0
 
     async def start(self):
@@ -64,21 +64,26 @@
         app = next(u for u in self._running.upstreams if u.pool == "dash")
         engine = next(u for u in self._running.upstreams if u.pool == "lm-pool")
         port = _common.free_port(ADDRESS)
-        places = [app.address, app.port, engine.address, engine.port]
-        arguments = ["test.bench.forwarder", ADDRESS, str(port), *map(str, places)]
+        upstream_arguments = [app.address, app.port, engine.address, engine.port]
+        arguments = [
+            "test.bench.forwarder",
+            ADDRESS,
+            str(port),
+            *map(str, upstream_arguments),
+        ]
         await self._processes.start("forwarder", arguments).ready_port()
         host = self._running.hosts[0]
-        self._places = {
+        self._endpoints = {
             ("fetch", "direct"): (app.address, app.port),
             ("stream", "direct"): (engine.address, engine.port),
         }
         for kind in ("fetch", "stream"):
-            self._places[kind, "forwarder"] = ADDRESS, port
-            self._places[kind, "daemon"] = host.address, host.port
+            self._endpoints[kind, "forwarder"] = ADDRESS, port
+            self._endpoints[kind, "daemon"] = host.address, host.port
 
-    async def call(self, kind, way, callers=1, processes=1, seconds=SECONDS):
-        """Run callers, and return their reports."""
-        address, port = self._places[kind, way]
+    async def call(self, kind, route, callers=1, processes=1, seconds=SECONDS):
+        """Run caller processes, and return their reports."""
+        address, port = self._endpoints[kind, route]
         arguments = [kind, address, port, callers, seconds, STREAM_TOKENS]
         started = []
         for _ in range(processes):
@@ -92,20 +97,20 @@
         reports = [json.loads(p.log().splitlines()[-1]) for p in started]
         for report in reports:
             if report["failures"]:
-                raise AssertionError(f"{kind} through {way}: {report}")
+                raise AssertionError(f"{kind} through {route}: {report}")
         return reports
 
     async def pace(self, options):
-        """Set how fast the engines are.
+        """Set the token timing of the engines.
 
-        :param options: options of the engines' stand-in.
+        :param options: options of the engine stand-in.
         """
         for upstream in self._running.upstreams:
             if upstream.pool == "lm-pool":
                 await self._running.control(upstream, "set", **options)
 
     async def cpu_s(self):
-        """Return the processor seconds that the daemon has spent."""
+        """Return the CPU time that the daemon has used, in seconds."""
         readings, _ = await read_all(self._running)
         return readings[0].cpu_s
 
@@ -114,9 +119,9 @@
     values = {}
     for _ in range(runs):
         for kind in ("fetch", "stream"):
-            for way in WAYS:
-                (report,) = await bench.call(kind, way)
-                values.setdefault((kind, way), []).append(report)
+            for route in ROUTES:
+                (report,) = await bench.call(kind, route)
+                values.setdefault((kind, route), []).append(report)
     rows = []
     for kind, name in (("fetch", "whole"), ("stream", "first"), ("stream", "whole")):
         for p in (50, 99):
@@ -131,7 +136,7 @@
 def _ratios(values, kind, name, percentile):
     field = f"{name}_{percentile}"
     direct, forwarder, daemon = (
-        [report[field] for report in values[kind, way]] for way in WAYS
+        [report[field] for report in values[kind, route]] for route in ROUTES
     )
     hops = [b / a for a, b in zip(forwarder, daemon, strict=True)]
     to_forwarder = [b / a for a, b in zip(direct, forwarder, strict=True)]
@@ -152,14 +157,14 @@
     rows = []
     for name, kind, field, callers, pace in (
         ("requests", "fetch", "calls", CALLERS, UNPACED),
-        ("tokens, as fast as may be", "stream", "events", CALLERS, UNPACED),
-        ("tokens, each 20 ms a stream", "stream", "events", PACED_CALLERS, PACED),
+        ("tokens, unthrottled", "stream", "events", CALLERS, UNPACED),
+        ("tokens, one per 20 ms and stream", "stream", "events", PACED_CALLERS, PACED),
     ):
         await bench.pace(pace)
         rates = [rate async for rate in _rates(bench, kind, field, callers, runs)]
         rows.append((name, statistics.median(rates), min(rates), max(rates)))
     await bench.pace(UNPACED)
-    columns = ("a second of one core", "median", "least", "most")
+    columns = ("per CPU second", "median", "least", "most")
     show(f"One daemon, {runs} runs", columns, rows)
 
 
@@ -174,8 +179,8 @@
 
 
 def run():
-    """Print latency as ratios, and work per core.
+    """Print throughput per CPU second, and latency ratios.
 
-    ``SLOPES_RUNS`` sets the runs; ``SLOPES_THROUGHPUT_ONLY`` leaves latency out.
+    ``SLOPES_RUNS`` sets the number of runs; ``SLOPES_THROUGHPUT_ONLY`` skips latency.
     """
     asyncio.run(_run())
--- a/test/bench/memory.py
+++ b/test/bench/memory.py
@@ -1,4 +1,4 @@
-"""What one more item of each kind of control state keeps in memory."""
+"""Measure the memory per item of each kind of control state."""
 
 import asyncio
 import gc
@@ -77,8 +77,10 @@
 
     def answering(i):
         async def answer():
-            kept = tuple((k + b"", bytes(bytearray(v))) for k, v in headers)
-            return AppResponse(201, kept, f'{{"saved": "note {i:060}"}}'.encode())
+            copied_headers = tuple((k + b"", bytes(bytearray(v))) for k, v in headers)
+            return AppResponse(
+                201, copied_headers, f'{{"saved": "note {i:060}"}}'.encode()
+            )
 
         return answer
 
@@ -110,8 +112,8 @@
     ("entry of the host list", _listed),
     ("held grant, entry host", _client_grants),
     ("held grant, owner", _owner_grants),
-    ("remembered key with its answer", _keys),
-    ("request in the kept decisions", _decisions),
+    ("cached outcome of an idempotency key", _keys),
+    ("request in the decision log", _decisions),
     ("label value of a metric", _metrics),
 )
 
@@ -130,22 +132,22 @@
     return state
 
 
-async def _kept_bytes(make_object):
+async def _retained_bytes(make_object):
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = await make_object(Clock())
+    retained = await make_object(Clock())
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
 
 
 async def _item_rows():
     for name, make_items in ITEM_KINDS:
         await make_items(Clock())
-        yield name, await _kept_bytes(make_items) / ITEMS
+        yield name, await _retained_bytes(make_items) / ITEMS
 
 
 async def _step_rows():
@@ -154,25 +156,31 @@
         async def make_state(clock, tokens=tokens):
             return _step(tokens)
 
-        kept = await _kept_bytes(make_state)
+        retained = await _retained_bytes(make_state)
         samples = tuple(_step(tokens).sample_by_slot.values())
         message = StoreSamples("trainer", "step-1", "0" * 64, 1, samples)
         size = len(msgspec.msgpack.encode(message))
         count = len(samples)
-        yield tokens, kept / MB, size / MB, kept / count / tokens, size / count / tokens
+        yield (
+            tokens,
+            retained / MB,
+            size / MB,
+            retained / count / tokens,
+            size / count / tokens,
+        )
 
 
 async def _run():
     rows = [row async for row in _item_rows()]
-    show("Memory kept by one item", ("item", "bytes"), rows)
+    show("Memory retained per item", ("item", "bytes"), rows)
     rows = [row async for row in _step_rows()]
-    columns = ("tokens a sample", "MB at holder", "MB sent to replica")
-    columns += ("B/token kept", "B/token sent")
+    columns = ("tokens per sample", "MB at holder", "MB sent to replica")
+    columns += ("B/token retained", "B/token sent")
     show("One step of 512 samples", columns, rows)
 
 
 def run():
-    """Print the memory of each kind of state, and the process's base."""
+    """Print the memory of each kind of state, and of a process after its imports."""
     asyncio.run(_run())
     print("\nResident memory of a process, module by module", flush=True)
     subprocess.run([sys.executable, "-m", "test.bench.base"], check=True)
--- a/test/bench/spreading.py
+++ b/test/bench/spreading.py
@@ -1,4 +1,4 @@
-"""New weights on all servers, and one message to all hosts."""
+"""Measure weight rollouts to all engines, and a broadcast to all hosts."""
 
 import asyncio
 import collections
@@ -43,7 +43,7 @@
 
 
 class _Published:
-    """Keeps what the driver says that the engines run."""
+    """Records the engine versions that the updater broadcasts."""
 
     def __init__(self):
         self.versions = {}
@@ -52,24 +52,24 @@
         self.versions = versions
 
 
-def _configuration(places, count):
+def _configuration(endpoints, count):
     names = [f"lm-{i}" for i in range(count)]
     upstreams = {
-        name: Upstream(name, "lm", "zone-a", *places[i % len(places)])
+        name: Upstream(name, "lm", "zone-a", *endpoints[i % len(endpoints)])
         for i, name in enumerate(names)
     }
     pools = {"lm": Pool("lm", UpstreamKind.ENGINE, MODEL)}
     return Configuration(1, {}, pools, upstreams)
 
 
-async def _rollouts(places, count):
-    """Yield the seconds and processor seconds of rollouts, then of idle time."""
+async def _rollouts(endpoints, count):
+    """Yield elapsed and CPU seconds of each rollout, then of an idle period."""
     clock = Clock()
     http = HttpClient(clock=clock, limits=_common.make_settings().limits)
     versions, published = _Versions(), _Published()
     lease = SimpleNamespace(fencing=1, was_released=True, holds=lambda: True)
-    configuration = _configuration(places, count)
-    driver = WeightUpdater(
+    configuration = _configuration(endpoints, count)
+    updater = WeightUpdater(
         clock=clock,
         model=MODEL,
         lease=lease,
@@ -81,21 +81,21 @@
         strategy=AllAtOnce(),
     )
     tasks = TaskGroup()
-    tasks.start(driver.run(lambda: True), "driver")
+    tasks.start(updater.run(lambda: True), "driver")
 
-    def all_run():
-        engines = driver._engines_by_name.values()
+    def all_current():
+        engines = updater._engines_by_name.values()
         return len(engines) == count and all(
             engine.version == versions.version for engine in engines
         )
 
-    await _common.eventually(all_run)
+    await _common.eventually(all_current)
     for _ in range(RUNS):
         await asyncio.sleep(3)
         started, cpu = time.monotonic(), time.process_time()
         versions.version += 1
-        driver.wake()
-        await _common.eventually(all_run)
+        updater.wake()
+        await _common.eventually(all_current)
         yield time.monotonic() - started, time.process_time() - cpu
     await asyncio.sleep(3)
     cpu = time.process_time()
@@ -108,18 +108,18 @@
 async def _weight_rows():
     async with Directory() as processes:
         options = {"model": MODEL, "swap_ms": SWAP_MS, "report_lag_ms": 0}
-        places = [
+        endpoints = [
             await processes.stand_in(f"engine-{i}", "engine", options)
             for i in range(STAND_INS)
         ]
         for count in UPSTREAMS:
-            *runs, idle = [run async for run in _rollouts(places, count)]
+            *runs, idle = [run async for run in _rollouts(endpoints, count)]
             slowest, cpu_s = max(runs)
             yield count, slowest, 1000 * cpu_s / count, 100 * idle[1] / idle[0]
 
 
 def _tree_rows():
-    """Yield the load of one message from one host to all."""
+    """Yield the message counts of one broadcast from one host to all."""
     records = [
         SimpleNamespace(id=f"host-{i}", zone=f"zone-{i % ZONES}") for i in range(HOSTS)
     ]
@@ -127,7 +127,7 @@
     sent, received = collections.Counter(), collections.Counter()
     waiting = []
 
-    def spread(host_id):
+    def make_broadcast(host_id):
         def send(target, message):
             sent[host_id] += 1
             received[target] += 1
@@ -136,23 +136,23 @@
         links = SimpleNamespace(send=send)
         return TreeBroadcast(links=links, membership=membership, host_id=host_id)
 
-    spread("host-0").broadcast(VersionPublished(MODEL, 1))
+    make_broadcast("host-0").broadcast(VersionPublished(MODEL, 1))
     hops = 0
     while waiting:
         hops += 1
         level, waiting = waiting, []
         for target, message in level:
-            spread(target).forward(message, message.targets)
+            make_broadcast(target).forward(message, message.targets)
     yield HOSTS, len(received), max(received.values()), max(sent.values()), hops
 
 
 def run():
-    """Print the time and processor time of rollouts, and the tree's shape."""
+    """Print the elapsed and CPU time of rollouts, and the shape of the tree."""
     columns = ("hosts", "reached", "most received", "most sent", "hops")
     show("One message to all hosts", columns, _tree_rows())
     rows = asyncio.run(_collect())
-    columns = ("upstreams", "slowest s", "cpu ms an upstream", "cpu % between")
-    title = f"One driver orders new weights, {SWAP_MS} ms a swap, slowest of {RUNS}"
+    columns = ("upstreams", "slowest s", "cpu ms per upstream", "cpu % idle")
+    title = f"Weight rollout by one updater, {SWAP_MS} ms per swap, slowest of {RUNS}"
     show(title, columns, rows)
 
 
--- a/test/standins/app.py
+++ b/test/standins/app.py
@@ -1,7 +1,7 @@
-"""A plain application service that counts what it ran.
+"""An application service that counts the requests it runs.
 
-It answers ``GET /panel/...`` and takes ``POST /notes``. ``POST /control/mode`` sets
-a fault by name, and ``GET /control/counts`` tells what ran.
+It serves ``GET /panel/...`` and ``POST /notes``. ``POST /control/mode`` injects a
+fault by name, and ``GET /control/counts`` returns the request counts.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 
 
 class App:
-    """The service's state; calling it handles a request."""
+    """Request handler that holds the service's state."""
 
     def __init__(self, options):
         self.name = options.get("name", "app")
@@ -45,16 +45,16 @@
         if self.mode == SLOW:
             await asyncio.sleep(self.slow_s)
         if self.mode == WRONG_LENGTH:
-            return Response(200, _cut_short())
+            return Response(200, _truncated_body())
         if self.jitter_s:
             await asyncio.sleep(random.uniform(0, self.jitter_s))
-        return self._answer(request)
+        return self._respond(request)
 
-    def _answer(self, request):
+    def _respond(self, request):
         if request.path == "/large":
             return Response(200, b"x" * LARGE_BODY_BYTES)
         if request.path == "/chunked":
-            return Response(200, _in_chunks())
+            return Response(200, _chunked_body())
         if request.method in ("GET", "HEAD"):
             target = f"{request.path}?{request.query}"
             trace = request.headers.get("traceparent", "")
@@ -73,18 +73,18 @@
         )
 
 
-async def _in_chunks():
+async def _chunked_body():
     for part in (b"first ", b"second ", b"third"):
         yield part
 
 
-async def _cut_short():
+async def _truncated_body():
     yield b'{"app":'
     raise Drop
 
 
 def make_server(**options):
-    """Return the service and a server for it on a free port, for use in a test."""
+    """Return the service and a server for it, by default on a free port."""
     app = App(options)
     return app, Server(app, "127.0.0.1", options.get("port", 0))
 
--- a/test/standins/users_store.py
+++ b/test/standins/users_store.py
@@ -1,4 +1,4 @@
-"""The users' metadata store, as its pages describe it, in memory."""
+"""In-memory stand-in for the users' metadata store, per the users' pages."""
 
 import asyncio
 import base64
@@ -11,23 +11,25 @@
 PAGE_ROWS = 500
 TX_MS = 5
 LATE_MS = 300
-# A part that has so much to do already turns transactions away.
+# A part whose backlog exceeds this rejects transactions.
 MOST_WAITING_MS = 1000
 
 
 class UsersStore:
-    """Rows with one counter of versions, feeds with a history, and objects.
-
-    :ivar object_ms: how long a call for an object takes.
-    :ivar cut: the names of the gates that lead nowhere.
-    :ivar turned_away: the names of the gates that answer 503.
-    :ivar tx_ms: how long a transaction takes; a part makes one after another.
-    :ivar read_ms: how long a read takes.
-    :ivar refused: how many transactions were turned away.
-    :ivar silent_parts: a function that tells whether a part gives no answers.
-    :ivar mode: ``""`` to serve, ``busy`` to answer 503, ``reset`` to close.
-    :ivar lost_answers: how many of the next writes are made and not answered.
-    :ivar late_writes: how many of the next writes are made late and not answered.
+    """Rows with one version counter, change feeds with a history, and objects.
+
+    :ivar object_ms: the latency of an object call.
+    :ivar cut: the names of the gates that are partitioned from the store.
+    :ivar turned_away: the names of the gates that reject calls with 503.
+    :ivar tx_ms: the duration of a transaction; a part runs one at a time.
+    :ivar read_ms: the latency of a read.
+    :ivar refused: the number of transactions rejected with 429.
+    :ivar silent_parts: a function that returns whether a part is unresponsive.
+    :ivar mode: ``""`` to serve, ``busy`` to reject calls with 503,
+        ``reset`` to close connections.
+    :ivar lost_answers: how many of the next writes are applied without a response.
+    :ivar late_writes: how many of the next writes are applied only after a delay,
+        without a response.
     """
 
     def __init__(self):
@@ -45,27 +47,27 @@
         self.read_ms = 0
         self.refused = 0
         self.silent_parts = lambda part: False
-        self._free_by_part = {}
+        self._free_at_by_part = {}
         self._changed = asyncio.Event()
         self._server = Server(self.handle, "127.0.0.1", 0)
         self._gates = []
-        self._late = set()
+        self._late_tasks = set()
         self.cut = set()
         self.turned_away = set()
 
     @property
     def port(self):
-        """The port that it listens on."""
+        """The port that the store listens on."""
         return self._server.port
 
     async def start(self):
-        """Start to listen."""
+        """Start listening."""
         await self._server.start()
 
     async def gate(self, name):
-        """Listen on a further port, which leads nowhere while its name is cut."""
+        """Listen on another port; its calls hang while the name is in ``cut``."""
 
-        async def pass_on(request):
+        async def handle_at_gate(request):
             if name in self.turned_away:
                 return Response(503)
             if name in self.cut:
@@ -75,23 +77,23 @@
                 await asyncio.sleep(60)
             return response
 
-        server = Server(pass_on, "127.0.0.1", 0)
+        server = Server(handle_at_gate, "127.0.0.1", 0)
         await server.start()
         self._gates.append(server)
         return server.port
 
     async def close(self):
-        """Stop listening and drop every connection."""
+        """Stop listening and abort all connections."""
         for server in self._gates:
             await server.close()
-        for task in self._late:
+        for task in self._late_tasks:
             task.cancel()
         await self._server.close()
 
     def put(self, table, key, value, part=""):
         """Write a row as the operator or a server would.
 
-        :param value: JSON data, or bytes that are written as they are.
+        :param value: JSON data, or bytes that are written unchanged.
         """
         data = value if isinstance(value, bytes) else json.dumps(value).encode()
         self.version += 1
@@ -108,13 +110,13 @@
         return json.loads(base64.b64decode(row["value"])) if row else None
 
     def forget_history(self):
-        """Answer 410 to feeds that ask for anything before now."""
+        """Drop the history; reply 410 to feeds that start before this point."""
         self.forgotten = self.version
         self.history.clear()
         self._wake()
 
     async def handle(self, request):
-        """Answer one call."""
+        """Return the response to a call."""
         self.calls.append((request.method, request.path, request.query))
         if self.mode == "busy":
             return Response(503)
@@ -122,7 +124,7 @@
             raise Drop
         query = {name: v[-1] for name, v in parse_qs(request.query).items()}
         kind, _, name = request.path[1:].partition("/")
-        # A feed and a list of parts are of no part.
+        # Feeds and part lists do not belong to a part.
         parts = {query["part"]} if "part" in query else set()
         if kind == "rows-tx":
             body = request.json()
@@ -130,7 +132,7 @@
             parts = {entry["part"] for entry in entries}
         if any(self.silent_parts(part) for part in parts):
             await asyncio.sleep(60)
-        if kind == "rows-tx" and not await self._take_turn(min(parts, default="")):
+        if kind == "rows-tx" and not await self._wait_for_turn(min(parts, default="")):
             self.refused += 1
             return Response(429)
         if kind.startswith("rows-") and kind != "rows-tx":
@@ -158,20 +160,20 @@
                 return Response(200)
         return Response(404)
 
-    async def _take_turn(self, part):
-        """Wait until a part has made what came before; tell whether it takes more."""
+    async def _wait_for_turn(self, part):
+        """Wait for a part's earlier transactions; return False if its queue is full."""
         now = time.monotonic()
-        free = max(now, self._free_by_part.get(part, now))
-        if (free - now) * 1000 > MOST_WAITING_MS:
+        free_at = max(now, self._free_at_by_part.get(part, now))
+        if (free_at - now) * 1000 > MOST_WAITING_MS:
             return False
-        self._free_by_part[part] = free + self.tx_ms / 1000
-        await asyncio.sleep(self._free_by_part[part] - now)
+        self._free_at_by_part[part] = free_at + self.tx_ms / 1000
+        await asyncio.sleep(self._free_at_by_part[part] - now)
         return True
 
     async def _write_call(self, write):
         if self.late_writes:
             self.late_writes -= 1
-            self._late.add(asyncio.create_task(self._write_late(write)))
+            self._late_tasks.add(asyncio.create_task(self._write_late(write)))
             raise Drop
         response = write()
         if self.lost_answers:
@@ -199,13 +201,13 @@
             failed = failed or (row["ver"] if row else 0) != entry["ver"]
         if failed:
             rows = [self.row_by_place.get(_place(e)) for e in body["expected"]]
-            return self._answer([row for row in rows if row], status=412)
+            return self._reply([row for row in rows if row], status=412)
         self.version += 1
         for entry in body["setKeys"]:
             self._write(entry["table"], entry["part"], entry["key"], entry["value"])
         for entry in body["remove"]:
             self._write(entry["table"], entry["part"], entry["key"], None)
-        return self._answer([])
+        return self._reply([])
 
     def _write(self, table, part, key, value):
         row = {"table": table, "part": part, "key": key, "ver": self.version}
@@ -232,7 +234,7 @@
             and ("to" not in query or key < query["to"])
         ]
         limit = min(int(query.get("limit", PAGE_ROWS)), PAGE_ROWS)
-        return self._answer(rows[:limit], hasMore=len(rows) > limit)
+        return self._reply(rows[:limit], hasMore=len(rows) > limit)
 
     def _parts(self, query):
         parts = {p for table, p, _ in self.row_by_place if table == query["table"]}
@@ -242,7 +244,7 @@
 
     async def _feed(self, query):
         after = int(query["after"])
-        end = time.monotonic() + int(query["waitMs"]) / 1000
+        deadline_s = time.monotonic() + int(query["waitMs"]) / 1000
         while True:
             if after < self.forgotten:
                 return Response(410)
@@ -251,17 +253,17 @@
                 for row in self.history
                 if row["table"] == query["table"] and row["ver"] > after
             ]
-            left = end - time.monotonic()
-            if rows or left <= 0:
-                return self._answer(rows)
+            remaining_s = deadline_s - time.monotonic()
+            if rows or remaining_s <= 0:
+                return self._reply(rows)
             changed = self._changed
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await changed.wait()
             except TimeoutError:
                 pass
 
-    def _answer(self, rows, status=200, **fields):
+    def _reply(self, rows, status=200, **fields):
         now_ms = time.monotonic_ns() // 1_000_000
         body = {"rows": rows, "ver": self.version, "nowMs": now_ms, **fields}
         return json_response(body, status)
--- a/test/test_front_faults.py
+++ b/test/test_front_faults.py
@@ -1,4 +1,4 @@
-"""What daemons on the users' platform keep when hosts end, freeze and come back."""
+"""Daemons on the users' platform through crashes, process freezes and restarts."""
 
 import asyncio
 import time
@@ -18,19 +18,19 @@
         self.fleet = FrontFleet()
         self.addAsyncCleanup(self.fleet.close)
 
-    def end_all(self):
-        """Have all hosts lose power at once."""
+    def kill_all(self):
+        """Kill all hosts at once, as in a power loss."""
         for process in self.fleet.fronts.values():
             process.kill()
 
     async def start_all(self, names=NAMES):
-        """Start all hosts again, under the names that they had."""
+        """Restart the hosts under their previous names; wait until they are ready."""
         for name in names:
             self.fleet.start_front(name)
         for name in names:
             await _common.eventually(lambda name=name: self.fleet.is_ready(name))
 
-    def check_whole(self, results, count):
+    def check_complete(self, results, count):
         self.assertEqual(len({r["id"] for r in results}), count)
         self.assertEqual(len(results), count)
         for result in results:
@@ -38,7 +38,7 @@
             self.assertEqual(result["text"], whole_text(result["id"], events))
 
     async def first_results(self, name, job_id):
-        """Return the first results of a job that a host lists, once there are some."""
+        """Wait until a host lists results of a job, and return them."""
 
         async def some():
             page = await self.fleet.results(name, job_id)
@@ -47,7 +47,7 @@
         return (await _common.eventually(some, 20))["results"]
 
     async def listed(self):
-        """Wait until the application's servers are known everywhere."""
+        """Wait until every host serves requests for the application."""
 
         async def answers(name):
             answer = await self.fleet.ask(name, "POST", FETCH_PATH, b"x", "probe")
@@ -63,24 +63,24 @@
     async def test_an_accepted_job_is_run_by_the_hosts_that_come_back(self):
         await self.fleet.start(names=NAMES)
         self.assertEqual(await self.fleet.submit("front-a", "j1", 8), 202)
-        self.end_all()
+        self.kill_all()
         await self.start_all()
-        self.check_whole(await self.fleet.all_results("front-b", "j1"), 8)
+        self.check_complete(await self.fleet.all_results("front-b", "j1"), 8)
 
     async def test_a_result_that_was_read_comes_again_where_it_was(self):
         await self.fleet.start(names=NAMES)
         for n, engine in enumerate(self.fleet.engines):
             engine.events = EVENTS
-            # Half of the items end early, the others are under way.
+            # Streams of the first engine are cut early; those of the other take longer.
             engine.cut_after = None if n else 20
         await self.fleet.submit("front-a", "j1", 8)
 
         first = await self.first_results("front-b", "j1")
-        self.end_all()
+        self.kill_all()
         await self.start_all()
         results = await self.fleet.all_results("front-a", "j1")
         self.assertEqual(results[: len(first)], first)
-        self.check_whole(results, 8)
+        self.check_complete(results, 8)
 
     async def test_nothing_of_a_job_that_was_ended_runs_again(self):
         await self.fleet.start(names=NAMES)
@@ -90,7 +90,7 @@
         await _common.eventually(lambda: any(e.runs for e in self.fleet.engines))
         answer = await self.fleet.ask("front-b", "DELETE", "/lots/j1", b"", "end")
         self.assertLess(answer.status, 300)
-        self.end_all()
+        self.kill_all()
         seen = [len(engine.runs) for engine in self.fleet.engines]
         await self.start_all()
         self.assertEqual(await self.fleet.submit("front-a", "j2", 4), 202)
@@ -100,7 +100,7 @@
             for engine, count in zip(self.fleet.engines, seen, strict=True)
             for run in engine.runs[count:]
         ]
-        # Both jobs name their items alike, so that only four may have begun.
+        # Both jobs use the same item ids, so only the four of the second may start.
         self.assertEqual(len(later), 4, later)
 
     async def test_a_configuration_is_in_force_on_the_hosts_that_come_back(self):
@@ -111,7 +111,7 @@
         self.fleet.store.put(
             "op", "config", document | {"version": 9, "routes": routes}
         )
-        self.end_all()
+        self.kill_all()
         await self.start_all()
         answer = await self.fleet.ask("front-a", "POST", FETCH_PATH, b"x", "r1")
         self.assertEqual(answer.status, 404)
@@ -133,34 +133,38 @@
         self.fleet.fronts[frozen].thaw()
         results = await self.fleet.all_results(other, "j1")
         self.assertEqual(results[: len(first)], first)
-        self.check_whole(results, 12)
+        self.check_complete(results, 12)
         self.assertEqual(await self.fleet.all_results(frozen, "j1"), results)
         self.assertEqual(self.fleet.runner_of("j1"), other)
 
 
 class OrdersTest(FaultCase):
     async def test_two_hosts_never_take_turns_at_an_engine(self):
-        """The giver of orders hands its duty over while versions are named quickly."""
+        """The host that sends load orders hands over while target versions change."""
         await self.fleet.start(names=NAMES)
         await self.fleet.submit("front-a", "j0", 4)
         await self.fleet.all_results("front-a", "j0")
-        giver = self.fleet.runner_of("j0")
-        other = next(name for name in NAMES if name != giver)
+        order_sender = self.fleet.runner_of("j0")
+        other = next(name for name in NAMES if name != order_sender)
         for version in (2, 3):
             self.fleet.store.put(
                 "op", f"version/{MODEL}", {"model": MODEL, "version": version}
             )
             await asyncio.sleep(0.5)
         await _common.eventually(lambda: any(e.orders for e in self.fleet.engines))
-        self.fleet.fronts[giver].terminate()
+        self.fleet.fronts[order_sender].terminate()
         self.fleet.store.put("op", f"version/{MODEL}", {"model": MODEL, "version": 4})
         self.assertEqual(await self.fleet.submit(other, "j1", 4, min_version=3), 202)
         await _common.eventually(
             lambda: all(e.models[MODEL] == 4 for e in self.fleet.engines), 30
         )
-        turn_ms = self.fleet.documents[giver].get("orders", {}).get("turn_ms", 3000)
+        turn_ms = (
+            self.fleet.documents[order_sender].get("orders", {}).get("turn_ms", 3000)
+        )
         for engine in self.fleet.engines:
-            self.assertEqual({o["holder"] for o in engine.orders}, {giver, other})
+            self.assertEqual(
+                {o["holder"] for o in engine.orders}, {order_sender, other}
+            )
             self.check_turns(engine, turn_ms)
 
     def check_turns(self, engine, turn_ms):
@@ -172,7 +176,7 @@
             self.assertGreater(after["fence"], before["fence"])
 
     async def test_an_engine_that_was_started_again_under_its_id_follows(self):
-        """Its count of orders begins anew, and it lost the version on the way."""
+        """The restarted engine counts load orders from 0 and has the first version."""
         await self.fleet.start(names=("front-a",))
         await self.fleet.submit("front-a", "j0", 4)
         await self.fleet.all_results("front-a", "j0")
@@ -191,19 +195,19 @@
 
 class ReusedAddressTest(FaultCase):
     async def test_another_service_at_a_gone_servers_address_runs_nothing(self):
-        """The entry of the server that is gone is still listed when it happens."""
+        """The address is reused while the stopped server is still listed."""
         await self.fleet.start(names=("front-a",))
         await self.listed()
         gone, kept = self.fleet.apps
         self.fleet.silent.add(gone.name)
-        stranger = UsersServer("stranger-0", "other")
+        other_server = UsersServer("stranger-0", "other")
         await gone.close()
-        await stranger.start(port=gone.port)
-        self.addAsyncCleanup(stranger.close)
+        await other_server.start(port=gone.port)
+        self.addAsyncCleanup(other_server.close)
         started_s = time.monotonic()
         for n in range(20):
             answer = await self.fleet.ask("front-a", "POST", FETCH_PATH, b"x", f"r{n}")
             self.assertEqual(answer.status, 200, answer)
         self.assertLess(time.monotonic() - started_s, 5)
-        self.assertEqual(stranger.runs, [])
-        self.assertTrue(stranger.seen, "no request met the address")
+        self.assertEqual(other_server.runs, [])
+        self.assertTrue(other_server.seen, "no request reached the address")
