--- a/test/test_routes.py
+++ b/test/test_routes.py
@@ -101,8 +101,8 @@
 
     async def test_the_token_does_not_reach_the_upstream(self):
         seen = []
-        handle = self.app._answer
-        self.app._answer = lambda request: (
+        handle = self.app._respond
+        self.app._respond = lambda request: (
             seen.append(request.headers) or handle(request)
         )
         await self.ask("GET", "/apps/app/x", headers=[(b"x-kept", b"1")])
